--- a/entry/quarantine/attempt.go
+++ b/entry/quarantine/attempt.go
@@ -8,20 +8,21 @@
 	"baywall.example/core/vm"
 )
 
-// Permission says whether a request may be tried now.
+// Permission is the decision whether a request may be tried now.
 type Permission int
 
 // Permissions.
 const (
 	Granted Permission = iota + 1
-	Wait               // another attempt of an equal request has to end first
-	Refused            // it is quarantined
+	Wait               // another attempt at an equal request must end first
+	Refused            // the request is quarantined
 )
 
-// Attempt is one attempt of a suspected request. The zero value belongs to a request of
+// Attempt is one attempt at a suspected request. The zero value is for a request about
 // which nothing is known.
 type Attempt struct {
-	// Round is 1 + the ends that were known when the attempt was sent.
+	// Round is one more than the round of the latest end that was known when the attempt
+	// was admitted.
 	Round int
 
 	table       *Table
@@ -30,12 +31,13 @@
 	sent        bool
 }
 
-// Admit asks whether a request may be tried. A granted attempt is to be released.
+// Admit decides whether a request may be tried. The caller must release a granted
+// attempt.
 func (t *Table) Admit(f Fingerprint, now time.Time) (Attempt, Permission) {
 	if t.Empty() {
 		return Attempt{Round: 1}, Granted
 	}
-	interval := t.interval() // it takes the lock under which Told is called
+	interval := t.interval() // acquires the lock under which the heartbeat's report is built
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
@@ -48,40 +50,41 @@
 	case j.Standing == OnTrial && !t.mayTry(f, r, interval, now):
 		return Attempt{}, Wait
 	}
-	r.admits++
-	r.intentUntil = time.Time{}
+	r.admitted++
+	r.announcedUntil = time.Time{}
 	return Attempt{Round: r.nextRound(), table: t, fingerprint: f}, Granted
 }
 
-// mayTry reports whether a request on trial may be tried: no other attempt is under way,
-// this process has announced it for a while, and no other one that goes first has.
+// mayTry reports whether a request on trial may be tried: no other attempt is in progress,
+// this process has announced its intent for long enough, and no process that precedes it
+// has announced the same.
 func (t *Table) mayTry(f Fingerprint, r *record, interval time.Duration, now time.Time) bool {
-	if r.admits > 0 || len(r.running) > 0 {
+	if r.admitted > 0 || len(r.running) > 0 {
 		return false
 	}
-	for peer, mark := range r.marks {
-		if now.Sub(mark.at) >= markLife(interval) {
+	for peer, report := range r.peerReports {
+		if now.Sub(report.at) >= peerReportTTL(interval) {
 			continue
 		}
-		if len(mark.running) > 0 || mark.intent && precedes(f, peer, t.self) {
+		if len(report.running) > 0 || report.announced && precedes(f, peer, t.self) {
 			return false
 		}
 	}
-	pause := max(tryPause, heardWithin*interval)
-	if !now.Before(r.intentUntil) {
-		r.intent, r.intentUntil, r.changed = now, now.Add(max(intentLife, 2*pause)), now
+	pause := max(minAnnounceTime, receiveIntervals*interval)
+	if !now.Before(r.announcedUntil) {
+		r.announced, r.announcedUntil, r.changed = now, now.Add(max(minIntentTTL, 2*pause)), now
 		return false
 	}
-	return now.Sub(r.intent) >= pause
+	return now.Sub(r.announced) >= pause
 }
 
-// precedes reports whether a process goes before another one in trying a request.
+// precedes reports whether process a has precedence over process b in trying a request.
 func precedes(f Fingerprint, a, b vm.ID) bool {
 	weight := func(id vm.ID) uint64 { return xxhash.Sum64String(string(f[:]) + string(id)) }
 	return weight(a) < weight(b)
 }
 
-// Send notes the server to which the attempt is sent.
+// Send records the server to which the attempt is sent.
 func (a *Attempt) Send(server ServerKey, now time.Time) {
 	if a.table == nil {
 		return
@@ -105,9 +108,9 @@
 	r := a.table.records[a.fingerprint]
 	a.table = nil
 	if r == nil {
-		return // evicted meanwhile
+		return // evicted in the meantime
 	}
-	r.admits = max(0, r.admits-1)
+	r.admitted = max(0, r.admitted-1)
 	if !a.sent {
 		return
 	}
@@ -116,20 +119,20 @@
 	}
 }
 
-// Avoid returns the servers that a request keeps away from if there are others: one on
-// trial may end the server that it is on, and two suspects on one server could not be
-// told apart. It is nil if there are none.
+// Avoid returns the servers that a request should not be sent to if there are others: a
+// request on trial may bring down its server, and two suspects on one server could not be
+// told apart. The result is nil if there are no such servers.
 func (t *Table) Avoid(f Fingerprint, now time.Time) map[ServerKey]bool {
 	if t.Empty() {
 		return nil
 	}
-	fresh := markLife(t.interval()) // it takes the lock under which Told is called
+	fresh := peerReportTTL(t.interval()) // acquires the lock under which the heartbeat's report is built
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	suspected := t.judge(t.records[f], now).Standing != Unsuspected
 	var out map[ServerKey]bool
 	for other, r := range t.records {
-		if other == f || len(r.running) == 0 && len(r.marks) == 0 {
+		if other == f || len(r.running) == 0 && len(r.peerReports) == 0 {
 			continue
 		}
 		if !suspected && t.judge(r, now).Standing < OnTrial {
@@ -140,8 +143,8 @@
 	return out
 }
 
-// addServers adds the servers on which attempts are under way, as far as that was told
-// within a time.
+// addServers adds the servers on which attempts are in progress: those of this process,
+// and those of other processes whose report is younger than fresh.
 func (r *record) addServers(to map[ServerKey]bool, fresh time.Duration, now time.Time) map[ServerKey]bool {
 	if to == nil {
 		to = make(map[ServerKey]bool)
@@ -149,11 +152,11 @@
 	for server := range r.running {
 		to[server] = true
 	}
-	for _, mark := range r.marks {
-		if now.Sub(mark.at) >= fresh {
+	for _, report := range r.peerReports {
+		if now.Sub(report.at) >= fresh {
 			continue
 		}
-		for _, server := range mark.running {
+		for _, server := range report.running {
 			to[server] = true
 		}
 	}
--- a/entry/quarantine/bench_test.go
+++ b/entry/quarantine/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// full returns a table with many suspects.
+// full returns a table with the given number of suspects.
 func full(suspects int) *Table {
 	table := newTable("a")
 	for i := range suspects {
@@ -27,7 +27,7 @@
 }
 
 func BenchmarkAdmitUnsuspected(b *testing.B) {
-	for _, suspects := range []int{0, 30, mostRecords} {
+	for _, suspects := range []int{0, 30, maxRecords} {
 		table, f := full(suspects), fingerprint(-1)
 		b.Run(fmt.Sprintf("%d suspects", suspects), func(b *testing.B) {
 			for b.Loop() {
@@ -38,8 +38,8 @@
 	}
 }
 
-func BenchmarkTold(b *testing.B) {
-	for _, suspects := range []int{0, 30, mostRecords} {
+func BenchmarkHeartbeatReport(b *testing.B) {
+	for _, suspects := range []int{0, 30, maxRecords} {
 		table := full(suspects)
 		later := start.Add(time.Hour)
 		b.Run(fmt.Sprintf("%d suspects", suspects), func(b *testing.B) {
--- a/entry/quarantine/doc.go
+++ b/entry/quarantine/doc.go
@@ -1,46 +1,49 @@
-// Package quarantine tells requests that end the backend servers that run them from
-// requests that were on a server that ended for another reason, and says which ones are
-// not to be sent to another server.
-//
-// # What counts as proof
-//
-// The end of a backend server counts against a request if all of this holds:
-//
-//   - An attempt at it was under way there, and its connection broke before the answer
-//     was whole.
-//   - The server's process has ended: its host refused a new connection just afterwards.
-//     A server that stood with its group, is cut off or silent proves nothing.
-//   - No connection to it has outlived that: a server that refuses new ones as it has too
-//     many goes on answering over the others.
-//   - At most one other server, on which no such request was running, ended in the same
-//     moment: when a rack, a zone or everything fails, requests are not the reason.
-//   - The attempt was sent when the ends counted so far were known. Copies that were under
-//     way together count once, however many servers ended under them. Each end has the
-//     number of its round for that; the rounds, not the servers, are counted.
-//
-// Equal requests (see Fingerprint) share what is proved. Requests that were on the same
-// server have that end counted, too; they are told apart by what follows. A run that ends
-// well is proof to the contrary: it clears all equal requests, for clearedLife, whatever
-// ended meanwhile.
-//
-// # What follows
-//
-// One end: the request is tried on, away from servers on which another suspect runs, if
-// there are others. Two: it is tried once at a time in the whole fleet (tryPause), and
-// other requests keep away from its server. Three: it is refused, at once. When the
-// quarantine is over, it is tried once again; with each further end it lasts twice as
-// long.
-//
-// # How it spreads
-//
-// Gateways tell each other in heartbeats what changed, and in turn all that they know,
-// whoever saw it; one that meets another asks it for everything over a link. What two of
-// them know is merged by union, so the order and the number of messages do not matter.
-// Times travel as ages. Nothing is stored: what no process knows any more is forgotten.
+// Package quarantine identifies requests that bring down the backend servers they run
+// on, tells them apart from requests whose server ended for another reason, and decides
+// which requests must not be sent to another server.
+//
+// # What counts as evidence
+//
+// The end of a backend server counts against a request if all of the following hold:
+//
+//   - An attempt at the request was in progress on the server, and its connection broke
+//     before the answer was complete.
+//   - The server's process has ended: its host refused a new connection immediately
+//     afterwards. A server that is stalled together with its group, is cut off from the
+//     network or does not respond is no evidence.
+//   - No connection to the server has outlived the supposed end: a server that refuses new
+//     connections because it has too many keeps answering over the existing ones.
+//   - At most one other server on which no such request was running ended at the same
+//     moment: when a rack, a zone or everything fails, requests are not the cause.
+//   - The attempt was sent when the ends counted so far were known. Copies of a request
+//     that were in progress together count once, however many servers ended under them.
+//     For this purpose each end carries the number of its round; rounds are counted, not
+//     servers.
+//
+// Equal requests (see Fingerprint) share their evidence. All requests that were on the
+// same server have its end counted against them; later ends tell them apart. A run that
+// ends well is evidence to the contrary: it clears all equal requests for clearedTTL,
+// regardless of which servers end meanwhile.
+//
+// # Consequences
+//
+// After one end, the request is still tried, on servers that run no other suspect if
+// there are any. After two, it is tried once at a time in the whole fleet (see
+// minAnnounceTime), and other requests avoid its server. After three, it is refused
+// immediately. When the quarantine is over, it is tried once more; each further end
+// doubles the duration of the quarantine.
+//
+// # Propagation
+//
+// Gateways report recent changes to each other in heartbeats and, in rotation, everything
+// that they know, whichever gateway observed it. A gateway that meets another one requests
+// its complete state over a link. States are merged by union, so the order and the number
+// of messages do not matter. Times are sent as ages. Nothing is stored: what no process
+// knows any more is lost.
 //
 // # Bounds
 //
-// A table keeps mostRecords fingerprints with mostEnds ends each, and mostOutages server
-// ends to compare with. Records of less than three ends are kept for suspectLife after
-// the last one, others for twice their quarantine.
+// A table holds up to maxRecords fingerprints with maxEnds ends each, and maxOutages ends
+// of servers to compare with. Records with fewer than three ends are kept for suspectTTL
+// after the last end, others for twice the duration of their quarantine.
 package quarantine
--- a/entry/quarantine/fingerprint.go
+++ b/entry/quarantine/fingerprint.go
@@ -8,14 +8,14 @@
 )
 
 // Fingerprint identifies equal requests: those of one team with the same method, host,
-// target and body. It is cut from a SHA-256 sum, as a request with the fingerprint of
-// another must not be found by trying.
+// target and body. It is a truncated SHA-256 sum, because it must be infeasible to
+// construct a request that has the fingerprint of another one.
 type Fingerprint [16]byte
 
-// String returns the fingerprint in hexadecimal digits.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Identity is what makes requests equal.
+// Identity holds the properties in which equal requests agree.
 type Identity struct {
 	Team   string
 	Method string
@@ -34,7 +34,8 @@
 	return Fingerprint(sum.Sum(nil)[:len(Fingerprint{})])
 }
 
-// addPart adds the part behind its length, so that no two lists of parts add the same.
+// addPart adds the part prefixed with its length, so that different lists of parts never
+// produce the same input.
 func addPart(sum hash.Hash, part []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
--- a/entry/quarantine/fuzz_test.go
+++ b/entry/quarantine/fuzz_test.go
@@ -9,8 +9,8 @@
 	"baywall.example/core/wire"
 )
 
-// Whatever another process says, nothing grows without bound and no request of which it
-// says nothing is refused.
+// FuzzHear checks that whatever another process reports, no state grows without bound and
+// no request that is not in the report is refused.
 func FuzzHear(f *testing.F) {
 	fp := fingerprint(1)
 	seeds := []*wire.Suspects{
@@ -29,13 +29,13 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var said wire.Suspects
-		if proto.Unmarshal(raw, &said) != nil {
+		var report wire.Suspects
+		if proto.Unmarshal(raw, &report) != nil {
 			return
 		}
 		table := newTable("a")
-		table.Hear("b", said.GetSuspects(), start)
-		for _, w := range said.GetSuspects() {
+		table.Hear("b", report.GetSuspects(), start)
+		for _, w := range report.GetSuspects() {
 			if len(w.GetFingerprint()) == len(Fingerprint{}) {
 				attempt, _ := table.Admit(Fingerprint(w.GetFingerprint()), start)
 				attempt.Send(1, start)
@@ -45,11 +45,11 @@
 		table.Hear("c", table.All(start.Add(time.Second)), start.Add(time.Second))
 		_ = table.Told(start)
 		if _, permission := table.Admit(fingerprint(-7), start); permission != Granted {
-			t.Fatal("a request was refused of which nothing is known")
+			t.Fatal("a request about which nothing is known was refused")
 		}
 		table.Expire(start.Add(24 * time.Hour))
-		if table.Size() > len(said.GetSuspects()) {
-			t.Fatalf("%d records of %d suspects", table.Size(), len(said.GetSuspects()))
+		if table.Size() > len(report.GetSuspects()) {
+			t.Fatalf("%d records for %d suspects", table.Size(), len(report.GetSuspects()))
 		}
 	})
 }
--- a/entry/quarantine/outage.go
+++ b/entry/quarantine/outage.go
@@ -6,31 +6,32 @@
 )
 
 const (
-	// sameMoment is how far apart ends that have one cause are seen: processes of one
-	// host are ended within milliseconds, and ages travel with an error of a few
-	// heartbeats.
-	sameMoment = 250 * time.Millisecond
-	// unexplained is how many servers that end in the same moment without a request show
-	// that it is not the reason. One may have ended under another such request.
-	unexplained = 2
-	// mostOutages bounds the ends of servers that are kept to compare with.
-	mostOutages = 512
+	// simultaneousWithin is the largest time between two observed ends that are attributed to
+	// one cause: processes of one host end within milliseconds of each other, and ages
+	// are transmitted with an error of a few heartbeats.
+	simultaneousWithin = 250 * time.Millisecond
+	// minUnrelatedEnds is the number of servers that must end at the same moment without
+	// running a request to show that the request is not the cause. A single one may have
+	// ended because of another such request.
+	minUnrelatedEnds = 2
+	// maxOutages bounds the ends of servers that are kept for comparison.
+	maxOutages = 512
 )
 
-// outages are the ends of servers that are known, by incarnation.
+// outages holds the known ends of servers, by incarnation.
 type outages struct {
 	at      map[ServerKey]time.Time
-	version uint64 // changes with the ends, from 1
+	version uint64 // incremented with each change of the ends, starting at 1
 }
 
 func newOutages() outages { return outages{at: make(map[ServerKey]time.Time), version: 1} }
 
-// add notes an end. It forgets the oldest one if there are too many.
+// add records an end. It drops the oldest one if the limit is reached.
 func (o *outages) add(server ServerKey, at time.Time) {
 	if _, known := o.at[server]; known {
 		return
 	}
-	if len(o.at) >= mostOutages {
+	if len(o.at) >= maxOutages {
 		delete(o.at, o.oldest())
 	}
 	o.at[server] = at
@@ -53,13 +54,13 @@
 	return oldest
 }
 
-// elsewhere reports whether several servers ended in the same moment as e that are not
-// among the ends of its request.
-func (o *outages) elsewhere(e End, own []End) bool {
+// coincides reports whether several servers that are not among the ends of the request
+// ended at the same moment as e, so that the request is not the cause of e.
+func (o *outages) coincides(e End, own []End) bool {
 	others := 0
 	for server, at := range o.at {
-		if at.Sub(e.At).Abs() <= sameMoment && !hasServer(own, server) {
-			if others++; others >= unexplained {
+		if at.Sub(e.At).Abs() <= simultaneousWithin && !hasServer(own, server) {
+			if others++; others >= minUnrelatedEnds {
 				return true
 			}
 		}
@@ -71,24 +72,24 @@
 	return slices.ContainsFunc(ends, func(e End) bool { return e.Server == server })
 }
 
-// count counts the rounds of ends that count against a request, unless nothing has
-// changed since.
+// count updates the number of rounds whose ends count against a request. It does nothing
+// if the ends have not changed since the last call.
 func (o *outages) count(r *record) {
-	if r.counted == o.version {
+	if r.countedVersion == o.version {
 		return
 	}
-	r.counted, r.count, r.last = o.version, 0, time.Time{}
-	round := 0 // the latest one counted
-	for _, e := range r.against() {
-		if o.elsewhere(e, r.ends) {
+	r.countedVersion, r.count, r.lastEnd = o.version, 0, time.Time{}
+	round := 0 // the last round counted
+	for _, e := range r.uncleared() {
+		if o.coincides(e, r.ends) {
 			continue
 		}
 		if e.Round != round {
 			round = e.Round
 			r.count++
 		}
-		if e.At.After(r.last) {
-			r.last = e.At
+		if e.At.After(r.lastEnd) {
+			r.lastEnd = e.At
 		}
 	}
 }
--- a/entry/quarantine/record.go
+++ b/entry/quarantine/record.go
@@ -8,75 +8,75 @@
 )
 
 const (
-	// tryFrom is the number of ends from which a request is tried one at a time,
-	// refuseFrom the number from which it is not tried any more: two servers in a row end
-	// by themselves now and then, the third is the last that it may cost.
-	tryFrom    = 2
-	refuseFrom = 3
-	// suspectLife is how long ends count that are too few for a quarantine.
-	suspectLife = 10 * time.Minute
-	// firstQuarantine is how long a quarantine lasts after the third end: servers are
-	// replaced by repaired ones within minutes at the earliest. Each further end doubles
-	// it, up to mostEnds.
+	// onTrialFrom is the number of ends from which a request is tried one at a time, and
+	// quarantinedFrom the number from which it is no longer tried: two servers in a row
+	// occasionally end for other reasons, and a request may bring down three at most.
+	onTrialFrom     = 2
+	quarantinedFrom = 3
+	// suspectTTL is how long ends count if there are too few of them for a quarantine.
+	suspectTTL = 10 * time.Minute
+	// firstQuarantine is the duration of a quarantine after the third end: it takes
+	// minutes at least until servers are replaced by repaired ones. Each further end
+	// doubles it, up to maxEnds.
 	firstQuarantine = 10 * time.Minute
-	// clearedLife is for how long a run that ended well outweighs ends.
-	clearedLife = 10 * time.Second
-	// mostEnds bounds the ends kept of one fingerprint.
-	mostEnds = 8
+	// clearedTTL is how long after a run that ended well new ends are disregarded.
+	clearedTTL = 10 * time.Second
+	// maxEnds bounds the ends kept for one fingerprint.
+	maxEnds = 8
 )
 
 // ServerKey identifies one incarnation of a backend server.
 type ServerKey uint64
 
-// End is the end of a backend server under a request.
+// End is the end of a backend server while it was running a request.
 type End struct {
 	Server ServerKey
-	Round  int // 1 + the ends that were known when the request was sent
+	Round  int // round of the attempt, see Attempt.Round
 	At     time.Time
 }
 
-// Standing is what is to be done with a request.
+// Standing is the status of a request, which determines how it is handled.
 type Standing int
 
-// Standings.
+// Values of Standing.
 const (
 	Unsuspected Standing = iota
-	Suspected            // servers ended under it; it is tried, apart from other suspects
+	Suspected            // servers ended while running it; it is tried, apart from other suspects
 	OnTrial              // it is tried one at a time
 	Quarantined          // it is refused
 )
 
-// String returns the standing's name.
+// String returns the name of the status.
 func (s Standing) String() string {
 	return [...]string{"unsuspected", "suspected", "on-trial", "quarantined"}[s]
 }
 
-// record is what is known of one fingerprint.
+// record holds what is known about one fingerprint.
 type record struct {
-	ends    []End     // one for each server
-	cleared time.Time // when a run last ended well, zero = never
-	own     bool      // it did so here
-	changed time.Time
-	count   int               // of ends that count
-	last    time.Time         // the latest of these
-	counted uint64            // version of the outages with which they were counted, 0 = never
-	running map[ServerKey]int // attempts of this process, by server
-	admits  int               // of this process that have no server yet
-	intent  time.Time         // since when this process is about to try one
-	// intentUntil is until when that counts, zero = it is not about to.
-	intentUntil time.Time
-	marks       map[vm.ID]peerMark // of other processes
+	ends           []End     // one per server
+	cleared        time.Time // when a run last ended well; zero if never
+	ownRun         bool      // whether that run was in this process
+	changed        time.Time
+	count          int               // number of rounds that count against the request
+	lastEnd        time.Time         // time of the latest end that counts
+	countedVersion uint64            // version of the outages for which count is valid; 0 if none
+	running        map[ServerKey]int // attempts of this process, by server
+	admitted       int               // attempts of this process that are not released yet
+	announced      time.Time         // when this process announced that it intends to try the request
+	// announcedUntil is when the announcement expires; zero if there is none.
+	announcedUntil time.Time
+	peerReports    map[vm.ID]peerReport // by process
 }
 
-// peerMark is what another process said of its attempts.
-type peerMark struct {
-	running []ServerKey
-	intent  bool
-	at      time.Time
+// peerReport is the last report of another process about its attempts.
+type peerReport struct {
+	running   []ServerKey
+	announced bool
+	at        time.Time
 }
 
-// add merges an end and reports whether that changes anything. Of two attempts that were
-// on the same server the later round counts.
+// add merges an end into the record and reports whether the record changed. Of two
+// attempts on the same server the later round counts.
 func (r *record) add(e End) bool {
 	same := slices.IndexFunc(r.ends, func(known End) bool { return known.Server == e.Server })
 	switch {
@@ -87,40 +87,40 @@
 	default:
 		return false
 	}
-	r.counted = 0
+	r.countedVersion = 0
 	slices.SortStableFunc(r.ends, func(a, b End) int { return a.Round - b.Round })
-	if len(r.ends) > mostEnds {
+	if len(r.ends) > maxEnds {
 		r.ends = r.ends[1:]
 	}
 	return true
 }
 
-// clear notes that a run ended well, here or elsewhere, and reports whether it outweighs
-// anything.
-func (r *record) clear(at time.Time, own bool) bool {
+// clear records that a run ended well, in this process or another one, and reports whether
+// fewer ends count as a result.
+func (r *record) clear(at time.Time, ownRun bool) bool {
 	if !at.After(r.cleared) {
 		return false
 	}
-	before := len(r.against())
-	r.cleared, r.own, r.counted = at, own, 0
-	return len(r.against()) < before
+	before := len(r.uncleared())
+	r.cleared, r.ownRun, r.countedVersion = at, ownRun, 0
+	return len(r.uncleared()) < before
 }
 
-// against returns the ends that no run which ended well outweighs.
-func (r *record) against() []End {
+// uncleared returns the ends that are not cleared by a run that ended well.
+func (r *record) uncleared() []End {
 	if r.cleared.IsZero() {
 		return r.ends
 	}
 	var out []End
 	for _, e := range r.ends {
-		if !e.At.Before(r.cleared.Add(clearedLife)) {
+		if !e.At.Before(r.cleared.Add(clearedTTL)) {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// nextRound returns the round of an attempt that is sent now.
+// nextRound returns the round of an attempt that is admitted now.
 func (r *record) nextRound() int {
 	if len(r.ends) == 0 {
 		return 1
@@ -128,13 +128,14 @@
 	return 1 + r.ends[len(r.ends)-1].Round
 }
 
-// quarantine returns how long a request is refused after a number of ends.
+// quarantine returns how long a request is refused after the given number of ends.
 func quarantine(ends int) time.Duration {
-	if ends < refuseFrom {
+	if ends < quarantinedFrom {
 		return 0
 	}
-	return firstQuarantine << (ends - refuseFrom)
+	return firstQuarantine << (ends - quarantinedFrom)
 }
 
-// life returns how long a record is kept after its latest end.
-func life(ends int) time.Duration { return max(suspectLife, 2*quarantine(ends)) }
+// recordTTL returns how long a record with the given number of ends is kept after the latest
+// one.
+func recordTTL(ends int) time.Duration { return max(suspectTTL, 2*quarantine(ends)) }
--- a/entry/quarantine/spread.go
+++ b/entry/quarantine/spread.go
@@ -10,40 +10,41 @@
 )
 
 const (
-	// mostTold bounds the suspects in one heartbeat, of which those that changed within
-	// freshTime come first: each takes 30 bytes and 22 for each end.
-	mostTold  = 16
-	freshTime = 2 * time.Second
-	// mostToldEnds bounds the ends in one heartbeat: they are to fit a datagram of a
+	// maxReported bounds the suspects in one heartbeat; those that changed within recentTime
+	// come first. Each takes 30 bytes, and 22 more for each end.
+	maxReported = 16
+	recentTime  = 2 * time.Second
+	// maxReportedEnds bounds the ends in one heartbeat, so that they fit a datagram of the
 	// usual size.
-	mostToldEnds = 40
-	// inTurn is how many of those that have not changed are told in a heartbeat at least.
-	inTurn = 4
+	maxReportedEnds = 40
+	// minRotated is the least number of unchanged suspects in a heartbeat, if there are as many.
+	minRotated = 4
 )
 
-// Told returns what a heartbeat says: what changed lately, and others in turn.
+// Told returns the suspects to report in a heartbeat: those that changed recently, and
+// others in rotation.
 func (t *Table) Told(now time.Time) []*wire.Suspect {
 	if t.Empty() {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fresh, old := t.tellable(now)
+	fresh, old := t.reportable(now)
 	slices.SortFunc(fresh, func(a, b Fingerprint) int { return t.records[b].changed.Compare(t.records[a].changed) })
 	slices.SortFunc(old, func(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) })
-	fresh = fresh[:min(len(fresh), mostTold-min(inTurn, len(old)))]
+	fresh = fresh[:min(len(fresh), maxReported-min(minRotated, len(old)))]
 	var out []*wire.Suspect
 	ends := 0
 	for _, f := range fresh {
-		if ends += len(t.records[f].ends); ends > mostToldEnds {
+		if ends += len(t.records[f].ends); ends > maxReportedEnds {
 			return out
 		}
 		out = append(out, t.records[f].wire(f, now, false))
 	}
-	for range min(len(old), mostTold-len(fresh)) {
-		t.turn = (t.turn + 1) % len(old)
-		f := old[t.turn]
-		if ends += len(t.records[f].ends); ends > mostToldEnds {
+	for range min(len(old), maxReported-len(fresh)) {
+		t.rotated = (t.rotated + 1) % len(old)
+		f := old[t.rotated]
+		if ends += len(t.records[f].ends); ends > maxReportedEnds {
 			break
 		}
 		out = append(out, t.records[f].wire(f, now, false))
@@ -51,13 +52,13 @@
 	return out
 }
 
-// tellable returns the records that others may need to hear of: those that changed
-// lately, even if they do not count, as the ends in them tell of outages, and those that
-// count.
-func (t *Table) tellable(now time.Time) (fresh, old []Fingerprint) {
+// reportable returns the records to report to other processes: those that changed recently,
+// even if nothing counts against the request, because their ends make outages known, and
+// older ones of requests that are suspected.
+func (t *Table) reportable(now time.Time) (fresh, old []Fingerprint) {
 	for f, r := range t.records {
 		switch {
-		case now.Sub(r.changed) < freshTime || len(r.running) > 0:
+		case now.Sub(r.changed) < recentTime || len(r.running) > 0:
 			fresh = append(fresh, f)
 		case t.judge(r, now).Standing != Unsuspected:
 			old = append(old, f)
@@ -66,7 +67,7 @@
 	return fresh, old
 }
 
-// All returns everything that is known.
+// All returns the complete state.
 func (t *Table) All(now time.Time) []*wire.Suspect {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,14 +78,15 @@
 	return out
 }
 
-// wire returns what is told of a record. That a run ended well is told by those who saw
-// it, as ages grow younger with each telling; with hearsay it is told all the same.
-func (r *record) wire(f Fingerprint, now time.Time, hearsay bool) *wire.Suspect {
-	out := &wire.Suspect{Fingerprint: f[:], Intent: now.Before(r.intentUntil)}
+// wire returns the record as it is reported. In heartbeats, only the process that observed
+// a run that ended well reports it, because transmission delays make its age appear smaller
+// with each hop. If relayed is true, other processes report it as well.
+func (r *record) wire(f Fingerprint, now time.Time, relayed bool) *wire.Suspect {
+	out := &wire.Suspect{Fingerprint: f[:], Intent: now.Before(r.announcedUntil)}
 	for _, e := range r.ends {
 		out.Ends = append(out.Ends, &wire.ServerEnd{Server: uint64(e.Server), Round: uint32(e.Round), AgeMs: ageMs(e.At, now)})
 	}
-	if !r.cleared.IsZero() && (r.own || hearsay) {
+	if !r.cleared.IsZero() && (r.ownRun || relayed) {
 		out.ClearedMs = 1 + ageMs(r.cleared, now)
 	}
 	for server := range r.running {
@@ -95,7 +97,7 @@
 
 func ageMs(at, now time.Time) uint32 { return uint32(max(0, now.Sub(at).Milliseconds())) }
 
-// Hear takes over what another process says.
+// Hear merges a report of another process.
 func (t *Table) Hear(from vm.ID, suspects []*wire.Suspect, now time.Time) {
 	if len(suspects) == 0 {
 		return
@@ -107,16 +109,16 @@
 			t.log.Warn().Str("peer", string(from)).Hex("fingerprint", w.GetFingerprint()).Msg("suspect not understood")
 			continue
 		}
-		t.hear(from, Fingerprint(w.GetFingerprint()), w, now)
+		t.receive(from, Fingerprint(w.GetFingerprint()), w, now)
 	}
 }
 
-func (t *Table) hear(from vm.ID, f Fingerprint, w *wire.Suspect, now time.Time) {
+func (t *Table) receive(from vm.ID, f Fingerprint, w *wire.Suspect, now time.Time) {
 	if ms := w.GetClearedMs(); ms > 0 {
 		t.clear(f, t.record(f, now), now.Add(-time.Duration(ms-1)*time.Millisecond), string(from))
 	}
 	for _, e := range w.GetEnds() {
-		if age := time.Duration(e.GetAgeMs()) * time.Millisecond; e.GetRound() > 0 && age < life(mostEnds) {
+		if age := time.Duration(e.GetAgeMs()) * time.Millisecond; e.GetRound() > 0 && age < recordTTL(maxEnds) {
 			t.addEnd(f, End{Server: ServerKey(e.GetServer()), Round: int(e.GetRound()), At: now.Add(-age)}, string(from))
 		}
 	}
@@ -124,13 +126,13 @@
 	if r == nil {
 		return
 	}
-	mark := peerMark{intent: w.GetIntent(), at: now}
+	report := peerReport{announced: w.GetIntent(), at: now}
 	for _, server := range w.GetRunning() {
-		mark.running = append(mark.running, ServerKey(server))
+		report.running = append(report.running, ServerKey(server))
 	}
-	if !mark.intent && len(mark.running) == 0 {
-		delete(r.marks, from)
+	if !report.announced && len(report.running) == 0 {
+		delete(r.peerReports, from)
 		return
 	}
-	r.marks[from] = mark
+	r.peerReports[from] = report
 }
--- a/entry/quarantine/table.go
+++ b/entry/quarantine/table.go
@@ -12,41 +12,45 @@
 )
 
 const (
-	// mostRecords bounds the fingerprints of a table: a server that ends makes suspects of
-	// all requests on it, a dozen or so.
-	mostRecords = 2048
-	// tryPause is how long a process announces that it is about to try a request on
-	// trial, so that of several that are one goes first: some heartbeats.
-	tryPause = 150 * time.Millisecond
-	// intentLife is how long an announcement counts that is not repeated, at least; where
-	// others are heard seldom it is twice the time for which one waits after it.
-	// leastMarkLife is how long what another process said of its attempts counts at least.
-	intentLife    = time.Second
-	leastMarkLife = time.Second
-	// heardWithin is in how many intervals between heartbeats a process is heard, as
-	// datagrams may be lost.
-	heardWithin = 3
-	// withdrawnLife is how long the key of a server that has turned out to live is kept.
-	withdrawnLife = suspectLife
+	// maxRecords bounds the fingerprints of a table: when a server ends, all requests on
+	// it become suspects, about a dozen.
+	maxRecords = 2048
+	// minAnnounceTime is the least time for which a process announces that it intends to try a
+	// request on trial, so that only one of several such processes tries it. It spans a few
+	// heartbeats.
+	minAnnounceTime = 150 * time.Millisecond
+	// minIntentTTL is the least time for which an announcement is valid if it is not repeated;
+	// with long heartbeat intervals it is valid for twice the time that a process waits
+	// after it. minPeerReportTTL is the least time for which the report of another process
+	// about its attempts is valid.
+	minIntentTTL     = time.Second
+	minPeerReportTTL = time.Second
+	// receiveIntervals is the number of heartbeat intervals within which a message of each
+	// process is expected to arrive, as datagrams may be lost.
+	receiveIntervals = 3
+	// withdrawnTTL is how long the key of a server is kept whose reported end turned out
+	// to be wrong.
+	withdrawnTTL = suspectTTL
 )
 
-// Table is what one process knows. It is safe for concurrent use.
+// Table holds the state of one process. It is safe for concurrent use.
 type Table struct {
 	self     vm.ID
 	log      zerolog.Logger
 	interval func() time.Duration
 
-	used atomic.Bool // there are records
+	nonEmpty atomic.Bool // whether there are records
 
 	mu        sync.Mutex
 	records   map[Fingerprint]*record
 	outages   outages
-	withdrawn map[ServerKey]time.Time // servers that answered after their end was told
-	turn      int                     // where the records that are told in turn begin
+	withdrawn map[ServerKey]time.Time // servers that answered after their reported end
+	rotated   int                     // index of the last record reported in rotation
 }
 
-// NewTable returns the empty table of a process. The interval is that between two
-// messages of another process, in which Told is told; it is asked for without locks.
+// NewTable returns the empty table of a process. The interval function returns the time
+// between two messages of another process that carry its report; it is called without
+// holding the table's lock.
 func NewTable(self vm.ID, interval func() time.Duration, log zerolog.Logger) *Table {
 	return &Table{
 		self: self, log: log, interval: interval,
@@ -54,29 +58,31 @@
 	}
 }
 
-// Empty reports whether nothing is known of any request: then none has to be looked up.
-func (t *Table) Empty() bool { return !t.used.Load() }
+// Empty reports whether nothing is known about any request, so that no request has to be
+// looked up.
+func (t *Table) Empty() bool { return !t.nonEmpty.Load() }
 
-// Size returns the number of fingerprints that are known.
+// Size returns the number of known fingerprints.
 func (t *Table) Size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.records)
 }
 
-func markLife(interval time.Duration) time.Duration {
-	return max(leastMarkLife, heardWithin*interval)
+// peerReportTTL returns how long a report of another process about its attempts is valid.
+func peerReportTTL(interval time.Duration) time.Duration {
+	return max(minPeerReportTTL, receiveIntervals*interval)
 }
 
-// Judgement is what is known of a request at a moment.
+// Judgement is the assessment of a request at one moment.
 type Judgement struct {
 	Standing Standing
-	Ends     int           // that count against it
-	Left     time.Duration // of its quarantine
-	Since    time.Duration // since the latest end
+	Ends     int           // number of rounds of ends that count against the request
+	Left     time.Duration // remaining time of the quarantine
+	Since    time.Duration // time since the latest end
 }
 
-// Judge returns what is known of a request.
+// Judge returns the assessment of a request.
 func (t *Table) Judge(f Fingerprint, now time.Time) Judgement {
 	if t.Empty() {
 		return Judgement{}
@@ -91,15 +97,15 @@
 		return Judgement{}
 	}
 	t.outages.count(r)
-	j := Judgement{Ends: r.count, Since: now.Sub(r.last)}
-	if j.Ends == 0 || j.Since >= life(j.Ends) {
+	j := Judgement{Ends: r.count, Since: now.Sub(r.lastEnd)}
+	if j.Ends == 0 || j.Since >= recordTTL(j.Ends) {
 		return Judgement{}
 	}
 	j.Left = max(0, quarantine(j.Ends)-j.Since)
 	switch {
 	case j.Left > 0:
 		j.Standing = Quarantined
-	case j.Ends >= tryFrom:
+	case j.Ends >= onTrialFrom:
 		j.Standing = OnTrial
 	default:
 		j.Standing = Suspected
@@ -107,7 +113,8 @@
 	return j
 }
 
-// Ended notes that a server ended under an attempt of the round.
+// Ended records that a server ended while it was running an attempt, and returns the
+// resulting assessment of the request.
 func (t *Table) Ended(f Fingerprint, e End) Judgement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,12 +122,12 @@
 	return t.judge(t.records[f], e.At)
 }
 
-// ownAttempt is the source of what this process saw itself; that of other news is the
-// process that told it.
+// ownAttempt is logged as the source of observations of this process. For reports of
+// other processes the source is the ID of the process.
 const ownAttempt = "own attempt"
 
 func (t *Table) addEnd(f Fingerprint, e End, source string) {
-	if _, lives := t.withdrawn[e.Server]; lives {
+	if _, isWithdrawn := t.withdrawn[e.Server]; isWithdrawn {
 		return
 	}
 	t.outages.add(e.Server, e.At)
@@ -140,7 +147,7 @@
 		Dur("quarantine", after.Left).Msg("backend server ended under a request")
 }
 
-// Succeeded notes that a run ended well.
+// Succeeded records that a run ended well.
 func (t *Table) Succeeded(f Fingerprint, now time.Time) {
 	if t.Empty() {
 		return
@@ -160,18 +167,19 @@
 	t.log.Info().Stringer("fingerprint", f).Str("source", source).Msg("request cleared: a run of it ended well")
 }
 
-// Answered notes that a server answered a request that was sent at a time, over a
-// connection that was opened at a time. If its supposed end is between them, it has not
-// ended, but refused new connections. Over a later connection one that started again
-// under its id may have answered.
+// Answered records that a server answered a request, given when the connection was opened
+// and when the request was sent. If the server's supposed end lies between the two, the
+// server has not ended but refused new connections, and the end is withdrawn. A connection
+// opened after the end proves nothing: the server may have been restarted under the same
+// ID.
 func (t *Table) Answered(server ServerKey, opened, sent time.Time) {
 	if t.Empty() {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ended, told := t.outages.at[server]
-	if !told || !sent.After(ended) || !opened.Before(ended) {
+	ended, known := t.outages.at[server]
+	if !known || !sent.After(ended) || !opened.Before(ended) {
 		return
 	}
 	t.outages.remove(server)
@@ -182,25 +190,25 @@
 	t.log.Warn().Uint64("server_incarnation", uint64(server)).Msg("end of a backend server withdrawn: it answers")
 }
 
-// record returns the record of a fingerprint, a new one if there is none.
+// record returns the record of a fingerprint. It creates one if there is none.
 func (t *Table) record(f Fingerprint, now time.Time) *record {
 	if r := t.records[f]; r != nil {
 		return r
 	}
-	if len(t.records) >= mostRecords {
+	if len(t.records) >= maxRecords {
 		t.evict(now)
 	}
-	r := &record{changed: now, running: make(map[ServerKey]int), marks: make(map[vm.ID]peerMark)}
+	r := &record{changed: now, running: make(map[ServerKey]int), peerReports: make(map[vm.ID]peerReport)}
 	t.records[f] = r
-	t.used.Store(true)
+	t.nonEmpty.Store(true)
 	return r
 }
 
-// evict makes room: of those with the fewest ends the record that changed longest ago
-// goes.
+// evict removes one record: among those with the fewest ends, the one that has not changed
+// for the longest time.
 func (t *Table) evict(now time.Time) {
 	var victim Fingerprint
-	least, oldest := mostEnds+1, now
+	least, oldest := maxEnds+1, now
 	for f, r := range t.records {
 		n := len(r.ends)
 		if n < least || n == least && r.changed.Before(oldest) {
@@ -211,7 +219,7 @@
 	t.log.Warn().Stringer("fingerprint", victim).Int("ends", least).Msg("suspect forgotten for lack of room")
 }
 
-// Expire forgets what no longer counts.
+// Expire drops state that no longer affects any decision.
 func (t *Table) Expire(now time.Time) {
 	if t.Empty() {
 		return
@@ -219,22 +227,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for f, r := range t.records {
-		idle := len(r.running) == 0 && r.admits == 0
-		standing := t.judge(r, now).Standing
-		outlived := now.Sub(r.changed) >= suspectLife
-		if idle && standing == Unsuspected && outlived {
+		idle := len(r.running) == 0 && r.admitted == 0
+		status := t.judge(r, now).Standing
+		expired := now.Sub(r.changed) >= suspectTTL
+		if idle && status == Unsuspected && expired {
 			delete(t.records, f)
 		}
 	}
 	for server, at := range t.withdrawn {
-		if now.Sub(at) >= withdrawnLife {
+		if now.Sub(at) >= withdrawnTTL {
 			delete(t.withdrawn, server)
 		}
 	}
 	for server, at := range t.outages.at {
-		if now.Sub(at) >= life(mostEnds) {
+		if now.Sub(at) >= recordTTL(maxEnds) {
 			t.outages.remove(server)
 		}
 	}
-	t.used.Store(len(t.records) > 0)
+	t.nonEmpty.Store(len(t.records) > 0)
 }
--- a/entry/quarantine/table_test.go
+++ b/entry/quarantine/table_test.go
@@ -24,7 +24,7 @@
 	return NewTable(id, func() time.Duration { return 40 * time.Millisecond }, zerolog.Nop())
 }
 
-// end notes an end of a server under an attempt that is sent now.
+// end records the end of a server while it was running an attempt admitted now.
 func end(t *Table, f Fingerprint, server ServerKey, at time.Time) Judgement {
 	round := 1
 	if r := t.records[f]; r != nil {
@@ -33,16 +33,17 @@
 	return t.Ended(f, End{Server: server, Round: round, At: at})
 }
 
-// quarantined returns a table in which one request is.
+// quarantined returns a table in which the request is quarantined, and the time of the
+// last end.
 func quarantined(f Fingerprint) (*Table, time.Time) {
 	t := newTable("a")
-	for i := range refuseFrom {
+	for i := range quarantinedFrom {
 		end(t, f, ServerKey(i), start.Add(time.Duration(i)*time.Second))
 	}
-	return t, start.Add((refuseFrom - 1) * time.Second)
+	return t, start.Add((quarantinedFrom - 1) * time.Second)
 }
 
-func TestStandings(t *testing.T) {
+func TestStatusAfterEachEnd(t *testing.T) {
 	is := is.New(t)
 	table, f := newTable("a"), fingerprint(1)
 	is.True(table.Empty())
@@ -56,9 +57,9 @@
 	is.Equal(permission, Refused)
 }
 
-// With each further end a quarantine lasts twice as long; between two of them the request
-// is tried once.
-func TestAQuarantineEnds(t *testing.T) {
+// Each further end doubles the duration of the quarantine. Between two quarantines the
+// request is tried once.
+func TestQuarantineEnds(t *testing.T) {
 	is := is.New(t)
 	f := fingerprint(1)
 	table, last := quarantined(f)
@@ -66,24 +67,24 @@
 	over := last.Add(firstQuarantine)
 	is.Equal(table.Judge(f, over).Standing, OnTrial)
 	is.Equal(end(table, f, 9, over).Left, 2*firstQuarantine)
-	is.Equal(table.Judge(f, over.Add(life(4))).Standing, Unsuspected)
-	table.Expire(over.Add(life(4)))
+	is.Equal(table.Judge(f, over.Add(recordTTL(4))).Standing, Unsuspected)
+	table.Expire(over.Add(recordTTL(4)))
 	is.True(table.Empty())
 }
 
-func TestSuspicionIsForgotten(t *testing.T) {
+func TestSuspicionExpires(t *testing.T) {
 	is := is.New(t)
 	table, f := newTable("a"), fingerprint(1)
 	end(table, f, 1, start)
 	end(table, f, 2, start.Add(time.Second))
-	table.Expire(start.Add(suspectLife))
-	is.Equal(table.Judge(f, start.Add(suspectLife)).Ends, 2)
-	table.Expire(start.Add(time.Second + suspectLife))
+	table.Expire(start.Add(suspectTTL))
+	is.Equal(table.Judge(f, start.Add(suspectTTL)).Ends, 2)
+	table.Expire(start.Add(time.Second + suspectTTL))
 	is.True(table.Empty())
 }
 
-// Copies of one request were on twelve servers that ended.
-func TestCopiesThatWereUnderWayTogetherCountOnce(t *testing.T) {
+// Copies of one request were running on twelve servers that ended.
+func TestConcurrentCopiesCountOnce(t *testing.T) {
 	is := is.New(t)
 	table, f := newTable("a"), fingerprint(1)
 	for i := range 12 {
@@ -92,8 +93,9 @@
 	is.Equal(table.Judge(f, start.Add(12*time.Second)).Ends, 1)
 }
 
-// A rack, a zone or everything fails again and again, with the same requests on it.
-func TestNoRequestIsTheReasonWhereManyServersEnd(t *testing.T) {
+// When a rack, a zone or everything fails repeatedly while running the same requests, none
+// of the requests is suspected.
+func TestNoRequestIsSuspectedWhenManyServersEnd(t *testing.T) {
 	is := is.New(t)
 	table := newTable("a")
 	now := start
@@ -108,8 +110,8 @@
 	}
 }
 
-// Two requests that end servers come at the same time.
-func TestTwoRequestsAtOnceAreBothFound(t *testing.T) {
+// Two requests that bring down servers arrive at the same time.
+func TestTwoConcurrentHarmfulRequestsAreBothQuarantined(t *testing.T) {
 	is := is.New(t)
 	table := newTable("a")
 	now := start
@@ -122,7 +124,7 @@
 	is.Equal(table.Judge(fingerprint(2), now).Standing, Quarantined)
 }
 
-func TestARunThatEndsWellClearsEqualRequests(t *testing.T) {
+func TestSuccessfulRunClearsEqualRequests(t *testing.T) {
 	is := is.New(t)
 	f := fingerprint(1)
 	table, last := quarantined(f)
@@ -131,37 +133,37 @@
 	well := last.Add(time.Second)
 	table.Succeeded(f, well)
 	is.Equal(table.Judge(f, well).Standing, Unsuspected)
-	is.Equal(end(table, f, 7, well.Add(time.Second)).Standing, Unsuspected) // it is outweighed
-	is.Equal(end(table, f, 8, well.Add(clearedLife)).Standing, Suspected)
-	is.Equal(table.Judge(f, well.Add(clearedLife)).Ends, 1)
+	is.Equal(end(table, f, 7, well.Add(time.Second)).Standing, Unsuspected) // disregarded after the successful run
+	is.Equal(end(table, f, 8, well.Add(clearedTTL)).Standing, Suspected)
+	is.Equal(table.Judge(f, well.Add(clearedTTL)).Ends, 1)
 }
 
-func TestAServerThatAnswersOnHasNotEnded(t *testing.T) {
+func TestEndOfServerThatStillAnswersIsWithdrawn(t *testing.T) {
 	is := is.New(t)
 	f := fingerprint(1)
 	table, last := quarantined(f)
-	table.Answered(2, last.Add(-time.Hour), last)                        // sent before
-	table.Answered(2, last.Add(time.Millisecond), last.Add(time.Second)) // it started again
+	table.Answered(2, last.Add(-time.Hour), last)                        // sent before the end
+	table.Answered(2, last.Add(time.Millisecond), last.Add(time.Second)) // the server was restarted
 	is.Equal(table.Judge(f, last).Standing, Quarantined)
 	table.Answered(2, last.Add(-time.Hour), last.Add(time.Second))
 	is.Equal(table.Judge(f, last).Standing, OnTrial)
-	table.Ended(f, End{Server: 2, Round: 3, At: last}) // as others still say
+	table.Ended(f, End{Server: 2, Round: 3, At: last}) // as other processes still report
 	is.Equal(table.Judge(f, last).Standing, OnTrial)
 }
 
-// exchange lets each table tell all others what is due in a heartbeat.
+// exchange sends the heartbeat report of each table to all others.
 func exchange(now time.Time, tables ...*Table) {
 	for _, from := range tables {
-		said := from.Told(now)
+		report := from.Told(now)
 		for _, to := range tables {
 			if to != from {
-				to.Hear(from.self, said, now)
+				to.Hear(from.self, report, now)
 			}
 		}
 	}
 }
 
-func TestOneOfSeveralProcessesTriesARequestOnTrial(t *testing.T) {
+func TestOnlyOneProcessTriesARequestOnTrial(t *testing.T) {
 	is := is.New(t)
 	f := fingerprint(1)
 	a, b := newTable("a"), newTable("b")
@@ -182,15 +184,15 @@
 		now = now.Add(40 * time.Millisecond)
 		exchange(now, a, b)
 	}
-	is.Equal(granted, 1) // it is still under way
+	is.Equal(granted, 1) // that attempt is still in progress
 	is.True(a.Avoid(fingerprint(2), now)[77])
 	is.True(b.Avoid(fingerprint(2), now)[77])
 	is.Equal(len(a.Avoid(f, now)), 0)
 }
 
-// Gateways of a large fleet hear each other seldom. The time for which one announces a
-// trial was longer than its announcement counted, and no trial began.
-func TestATrialBeginsHoweverSeldomOthersAreHeard(t *testing.T) {
+// In a large fleet, heartbeats arrive at long intervals. If a process has to announce a
+// trial for longer than its announcement is valid, no trial ever begins.
+func TestTrialBeginsAtAnyHeartbeatInterval(t *testing.T) {
 	is := is.New(t)
 	f := fingerprint(1)
 	for _, interval := range []time.Duration{40 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second} {
@@ -199,14 +201,14 @@
 		end(table, f, 2, start.Add(time.Second))
 		permission := Wait
 		now := start.Add(2 * time.Second)
-		for until := now.Add(4 * heardWithin * interval).Add(time.Second); permission == Wait && now.Before(until); now = now.Add(15 * time.Millisecond) {
+		for until := now.Add(4 * receiveIntervals * interval).Add(time.Second); permission == Wait && now.Before(until); now = now.Add(15 * time.Millisecond) {
 			_, permission = table.Admit(f, now)
 		}
 		is.Equal(permission, Granted)
 	}
 }
 
-func TestSuspectsKeepAwayFromEachOther(t *testing.T) {
+func TestSuspectsAvoidEachOthersServers(t *testing.T) {
 	is := is.New(t)
 	table := newTable("a")
 	end(table, fingerprint(1), 1, start)
@@ -215,20 +217,21 @@
 	is.Equal(permission, Granted)
 	attempt.Send(5, start)
 	is.True(table.Avoid(fingerprint(2), start)[5])
-	is.True(!table.Avoid(fingerprint(3), start)[5]) // nothing is known of it
+	is.True(!table.Avoid(fingerprint(3), start)[5]) // not suspected
 	attempt.Release()
 	is.Equal(len(table.Avoid(fingerprint(2), start)), 0)
 }
 
-// A process that starts hears everything from any other, those that know it from others
-// included; afterwards in turn from heartbeats.
-func TestWhatIsKnownReachesAll(t *testing.T) {
+// A process that starts gets the complete state from any other process, including one that
+// received it from others itself. A process that does not request it gets it in rotation
+// from heartbeats.
+func TestStateReachesAllProcesses(t *testing.T) {
 	is := is.New(t)
 	a, b, c, d := newTable("a"), newTable("b"), newTable("c"), newTable("d")
 	const suspects = 60
 	now := start
 	for i := range suspects {
-		for n := range refuseFrom {
+		for n := range quarantinedFrom {
 			end(a, fingerprint(i), ServerKey(100*i+n), now)
 			now = now.Add(time.Second)
 		}
@@ -250,30 +253,30 @@
 func TestMemoryAndMessagesAreBounded(t *testing.T) {
 	is := is.New(t)
 	table := newTable("a")
-	kept := fingerprint(-1)
+	retained := fingerprint(-1)
 	for n := range 3 {
-		end(table, kept, ServerKey(1_000_000+n), start.Add(time.Duration(n-10)*time.Second))
+		end(table, retained, ServerKey(1_000_000+n), start.Add(time.Duration(n-10)*time.Second))
 	}
-	for i := range 2 * mostRecords {
+	for i := range 2 * maxRecords {
 		for n := range 2 {
 			end(table, fingerprint(i), ServerKey(10*i+n), start.Add(time.Duration(i)*time.Millisecond))
 		}
 	}
-	is.True(table.Size() <= mostRecords)
-	is.True(len(table.outages.at) <= mostOutages)
-	is.Equal(table.Judge(kept, start).Standing, Quarantined) // those with the most ends stay
-	told := 0
+	is.True(table.Size() <= maxRecords)
+	is.True(len(table.outages.at) <= maxOutages)
+	is.Equal(table.Judge(retained, start).Standing, Quarantined) // the records with the most ends are retained
+	size := 0
 	for _, w := range table.Told(start.Add(time.Second)) {
-		told += proto.Size(w)
+		size += proto.Size(w)
 	}
-	t.Logf("%d B in a heartbeat", told)
-	is.True(told <= 1500)
+	t.Logf("%d B in a heartbeat", size)
+	is.True(size <= 1500)
 	table.Expire(start.Add(24 * time.Hour))
 	is.Equal(table.Size(), 0)
 	is.Equal(len(table.outages.at), 0)
 }
 
-func TestStrangeSuspectsAreIgnored(t *testing.T) {
+func TestMalformedSuspectsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	table := newTable("a")
 	f := fingerprint(1)
@@ -286,15 +289,16 @@
 	is.Equal(table.Size(), 0)
 }
 
-// Whatever the order and number of messages, those who heard the same agree.
+// Processes that received the same reports agree, whatever the order and number of
+// messages.
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{newTable("a"), newTable("b"), newTable("c")}
 		now := start
-		servers := ServerKey(0) // that have ended
+		servers := ServerKey(0) // number of servers that have ended
 		ends := make(map[int]int)
 		note := func(table *Table, request int) {
-			if ends[request]++; ends[request] <= mostEnds { // of more, they keep different ones
+			if ends[request]++; ends[request] <= maxEnds { // above the bound, tables keep different ends
 				end(table, fingerprint(request), servers, now)
 			}
 		}
@@ -328,7 +332,7 @@
 				}
 			}
 		}
-		later := now.Add(clearedLife)
+		later := now.Add(clearedTTL)
 		for i := range 3 {
 			first := tables[0].Judge(fingerprint(i), later)
 			for _, table := range tables[1:] {
