--- a/entry/retry/retry.go
+++ b/entry/retry/retry.go
@@ -1,18 +1,16 @@
-// Package retry decides what follows when an attempt did not bring an answer.
+// Package retry decides what to do after an attempt that did not return a complete answer.
 //
-// The decision is a pure function of what is known: whether the request may
-// run twice, how the attempt ended, how many there were, the time left and the
-// retry budget. Its rules:
+// The decision depends only on whether the request is idempotent, how the attempt ended,
+// the number of attempts, the time left and the retry budget. The rules are:
 //
-//   - A request is "not-run" only if every attempt at it provably did not run.
-//   - An idempotent request is tried again elsewhere, within the budget.
-//   - A non-idempotent one is tried again only after proof that it did not run;
-//     after a lost link its agent is asked for that proof.
-//   - One with a ticket can run only on the ticket's agent, and only that agent
-//     can prove that it did not: the ticket may have been presented before.
+//   - A request is reported as "not-run" only if every attempt at it provably did not run.
+//   - An idempotent request is retried on another server, within the budget.
+//   - A non-idempotent request is retried only after proof that it did not run. After a
+//     lost link its agent is queried for that proof.
+//   - A request with a ticket can run only on the ticket's agent, and only that agent can
+//     prove that it did not run, because the ticket may have been presented before.
 //
-// The budget is a share of recent requests, so that retries cannot multiply an
-// overload.
+// The budget is a fraction of recent requests, so that retries cannot amplify an overload.
 package retry
 
 import (
@@ -22,7 +20,7 @@
 	"baywall.example/core/contract"
 )
 
-// Event tells how an attempt ended without a whole answer.
+// Event is the way in which an attempt ended without a complete answer.
 type Event int
 
 // Events.
@@ -31,28 +29,28 @@
 	EventRefused Event = iota + 1
 	// EventNotSent: the attempt was never sent.
 	EventNotSent
-	// EventLost: the link broke, or the agent fell silent, before the head.
+	// EventLost: the link broke, or the agent stopped responding, before the head.
 	EventLost
-	// EventCut: the link broke after the head was passed on.
+	// EventCut: the link broke after the head was forwarded.
 	EventCut
 	// EventTombstoned: the agent proved that the attempt will never run.
 	EventTombstoned
-	// EventHeld: the agent holds the attempt and can be asked for its answer.
+	// EventHeld: the agent holds the attempt, and its answer can be requested.
 	EventHeld
-	// EventNoFate: the agent cannot tell, or was not reached in time.
+	// EventNoFate: the agent does not know the attempt's outcome, or was not reached in time.
 	EventNoFate
 )
 
-// Action is what to do next.
+// Action is the next step.
 type Action int
 
 // Actions.
 const (
 	ActionRetry  Action = iota + 1 // make another attempt
-	ActionQuery                    // ask the agent for the attempt's fate
-	ActionResume                   // attach to the attempt again
+	ActionQuery                    // query the agent for the attempt's outcome
+	ActionResume                   // reattach to the attempt
 	ActionRefuse                   // give up with Decision.Refusal
-	ActionAbort                    // cut the caller's connection visibly
+	ActionAbort                    // cut the caller's connection, so that it notices the failure
 )
 
 // Decision is the action and, with ActionRefuse, the refusal.
@@ -64,51 +62,50 @@
 const (
 	// maxAttempts bounds the attempts at one request.
 	maxAttempts = 4
-	// minTimeLeft is the least time a further attempt is worth.
+	// minTimeLeft is the least time before the deadline for which another attempt is made.
 	minTimeLeft = 5 * time.Millisecond
-	// retryAfter is when callers may come back after a refusal for lack of
-	// backend servers.
+	// retryAfter is the delay suggested to callers in a refusal that specifies none, such as
+	// one for lack of backend servers.
 	retryAfter = 500 * time.Millisecond
 )
 
-// Sequence is the state of one request's attempts. It is not safe for
-// concurrent use.
+// Sequence is the state of the attempts at one request. It is not safe for concurrent use.
 type Sequence struct {
 	Idempotent bool
 	Ticketed   bool
 	Deadline   time.Time
 	Budget     Taker
-	// MaxRuns bounds the attempts that may have run, 0 = only all attempts
-	// together are bounded.
+	// MaxRuns bounds the attempts that may have run. If it is 0, only the total number of
+	// attempts is bounded.
 	MaxRuns int
 
 	attempts int
 	runs     int // attempts that may have run
 }
 
-// Taker is a budget of retries.
+// Taker is a retry budget.
 type Taker interface {
-	// Take uses up one retry and reports false if none is left.
+	// Take consumes one retry. It reports false if none is left.
 	Take() bool
 }
 
-// Attempts returns the number of attempts begun.
+// Attempts returns the number of attempts started.
 func (s *Sequence) Attempts() int { return s.attempts }
 
-// MayHaveRun reports whether an attempt so far may have run.
+// MayHaveRun reports whether any attempt so far may have run.
 func (s *Sequence) MayHaveRun() bool { return s.runs > 0 }
 
-// Begin counts a new attempt and returns its number, from 1.
+// Begin counts a new attempt and returns its number, starting at 1.
 func (s *Sequence) Begin() uint32 {
 	s.attempts++
 	return uint32(s.attempts)
 }
 
-// Void takes back the latest Begin: its attempt was not made.
+// Void undoes the latest Begin, whose attempt was not made.
 func (s *Sequence) Void() { s.attempts-- }
 
-// Next decides what follows the event. The refusal is the agent's, where it
-// sent one; otherwise its zero value.
+// Next decides what to do after the event. The refusal is the one that the agent sent, or
+// the zero value if it sent none.
 func (s *Sequence) Next(ev Event, r contract.Refusal, now time.Time) Decision {
 	switch ev {
 	case EventNotSent, EventTombstoned:
@@ -136,7 +133,7 @@
 		r.Reason = contract.ReasonNoBackend
 	}
 	if s.Ticketed && ev != EventRefused {
-		s.runs++ // only the agent's refusal voids the ticket
+		s.runs++ // only a refusal by the agent invalidates the ticket
 	}
 	if s.Ticketed && ev != EventTombstoned {
 		return s.refuse(r)
@@ -150,8 +147,8 @@
 	return Decision{Action: ActionRetry}
 }
 
-// chargeable reports whether a retry for this reason counts against the
-// budget. One that only corrects this entry VM's outdated view does not.
+// chargeable reports whether a retry for this reason counts against the budget. A retry
+// that only corrects an outdated view of this entry VM does not.
 func chargeable(r contract.Reason) bool {
 	return r != contract.ReasonStaleConfig && r != contract.ReasonDraining && r != contract.ReasonRateLimit
 }
@@ -169,8 +166,8 @@
 	return Decision{Action: ActionRetry}
 }
 
-// Leave reports whether an attempt that goes on may be given up for another one, and
-// counts it as one that ran.
+// Leave reports whether an attempt that is still running may be abandoned for another one.
+// If so, it charges the retry and counts the abandoned attempt as one that may have run.
 func (s *Sequence) Leave(now time.Time) bool {
 	if !s.Idempotent || !s.mayRetry(now) || s.MaxRuns > 0 && s.runs+1 >= s.MaxRuns || !s.Budget.Take() {
 		return false
@@ -184,9 +181,9 @@
 }
 
 func (s *Sequence) refuse(r contract.Refusal) Decision {
-	denied := s.Ticketed && r.Outcome == contract.NotRun // proved by the ticket's agent
+	ticketInvalid := s.Ticketed && r.Outcome == contract.NotRun // proven by the ticket's agent
 	r.Outcome = contract.NotRun
-	if s.runs > 0 && !denied {
+	if s.runs > 0 && !ticketInvalid {
 		r.Outcome = contract.Unknown
 	}
 	if r.RetryAfter == 0 {
@@ -196,32 +193,32 @@
 }
 
 const (
-	// budgetShare is how many retries one request earns.
+	// budgetShare is the number of retries that one request adds to the budget.
 	budgetShare = 0.2
-	// budgetCap bounds the saved retries.
+	// budgetCap bounds the accumulated retries.
 	budgetCap = 100
-	// budgetStart lets a fresh process retry before it has served anything.
+	// budgetStart allows a process to retry before it has served any request.
 	budgetStart = 20
 )
 
-// Budget bounds the retries of one service to a share of its requests. It is
-// safe for concurrent use.
+// Budget bounds the retries of one service to a fraction of its requests. It is safe for
+// concurrent use.
 type Budget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
-// NewBudget returns a budget with some retries to start with.
+// NewBudget returns a budget with an initial number of retries.
 func NewBudget() *Budget { return &Budget{tokens: budgetStart} }
 
-// Earn adds one request's share.
+// Earn adds the fraction of a retry that one request earns.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(budgetCap, b.tokens+budgetShare)
 }
 
-// Take uses up one retry and reports false if none is left.
+// Take consumes one retry. It reports false if none is left.
 func (b *Budget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/entry/retry/retry_test.go
+++ b/entry/retry/retry_test.go
@@ -39,7 +39,7 @@
 		{"not idempotent, link lost", false, false, EventLost, contract.Refusal{}, ActionQuery, ""},
 		{"not idempotent, tombstoned", false, false, EventTombstoned, contract.Refusal{}, ActionRetry, ""},
 		{"not idempotent, held", false, false, EventHeld, contract.Refusal{}, ActionResume, ""},
-		{"not idempotent, no fate", false, false, EventNoFate, contract.Refusal{}, ActionRefuse, contract.Unknown},
+		{"not idempotent, outcome not known", false, false, EventNoFate, contract.Refusal{}, ActionRefuse, contract.Unknown},
 		{"ticket, not sent: an earlier presentation may have run", false, true, EventNotSent, contract.Refusal{}, ActionRefuse, contract.Unknown},
 		{"ticket, its agent proved that it did not run", false, true, EventRefused, notRun, ActionRefuse, contract.NotRun},
 		{"ticket, tombstoned", false, true, EventTombstoned, contract.Refusal{}, ActionRetry, ""},
@@ -58,9 +58,9 @@
 	}
 }
 
-// Whatever happens, "not-run" is said only if no attempt may have run, and a
-// non-idempotent request is tried again only after proof.
-func TestTruthfulWhateverHappens(t *testing.T) {
+// For any sequence of events, "not-run" is reported only if no attempt may have run, and a
+// non-idempotent request is retried only after proof.
+func TestNotRunIsReportedOnlyWithProof(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := sequence(rapid.Bool().Draw(t, "idempotent"), false)
 		mayHaveRun := false
@@ -76,7 +76,7 @@
 			switch d.Action {
 			case ActionRetry:
 				if mayHaveRun && !s.Idempotent {
-					t.Fatal("a non-idempotent request that may have run is tried again")
+					t.Fatal("a non-idempotent request that may have run is retried")
 				}
 				s.Begin()
 			case ActionRefuse:
@@ -92,7 +92,7 @@
 	})
 }
 
-func TestBudgetBoundsRetriesToAShareOfRequests(t *testing.T) {
+func TestBudgetBoundsRetriesToFractionOfRequests(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget()
 	const requests = 10_000
@@ -107,8 +107,8 @@
 	is.True(retries >= requests*budgetShare-1)
 }
 
-// The agent's refusal voids a ticket; a tombstone of one attempt does not.
-func TestOnlyTheAgentsRefusalDeniesATicket(t *testing.T) {
+// The agent's refusal invalidates a ticket. A tombstone for one attempt does not.
+func TestOnlyRefusalByAgentInvalidatesTicket(t *testing.T) {
 	is := is.New(t)
 	s := sequence(false, true)
 	is.Equal(s.Next(EventTombstoned, contract.Refusal{Reason: contract.ReasonLinkLost}, now).Action, ActionRetry)
@@ -129,15 +129,16 @@
 	is.Equal(d.Refusal.Outcome, contract.Unknown)
 }
 
-// A run that goes on may be left only where its successor may run, and counts then.
-func TestLeavingARunThatGoesOn(t *testing.T) {
+// A running attempt may be abandoned only if another one may run in its place. It then
+// counts as one that may have run.
+func TestAbandoningRunningAttempt(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	s := Sequence{Idempotent: true, Deadline: now.Add(time.Second), Budget: NewBudget(), MaxRuns: 2}
 	s.Begin()
 	is.True(s.Leave(now))
 	s.Begin()
-	is.True(!s.Leave(now)) // its second run is its last
+	is.True(!s.Leave(now)) // the second run is the last that MaxRuns allows
 	is.Equal(s.Next(EventRefused, contract.Refusal{Outcome: contract.Unknown}, now).Action, ActionRefuse)
 
 	once := Sequence{Deadline: now.Add(time.Second), Budget: NewBudget()}
--- a/entry/retry/share.go
+++ b/entry/retry/share.go
@@ -5,53 +5,55 @@
 	"time"
 )
 
-// bucket is the resolution of a share's window.
-const bucket = 500 * time.Millisecond
+// bucketWidth is the resolution of a share's window.
+const bucketWidth = 500 * time.Millisecond
 
-// shareMargin is the part of its share that a gateway uses: requests near the
-// window's edges are counted by others in another order.
+// shareMargin is the fraction of its share that a gateway uses, because others count requests
+// near the edges of the window in a different order.
 const shareMargin = 0.8
 
-// Limit bounds the retries of one service over all gateways together: in any
-// window, Ratio times the requests plus Slack.
+// Limit bounds the retries of one service over all gateways together: in any window, the
+// retries are at most Ratio times the requests plus Slack.
 type Limit struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Share is one gateway's part of a Limit: the ratio of its own requests, and an
-// equal part of the slack. Nothing is exchanged: where all gateways are counted,
-// the parts sum up to the limit. It is safe for concurrent use.
+// Share is one gateway's part of a Limit: the ratio applied to its own requests, and an
+// equal part of the slack. The gateways do not coordinate: if every gateway counts all
+// members, the parts add up to the limit. A Share is safe for concurrent use.
 type Share struct {
 	limit   Limit
 	members func() int
 	now     func() time.Time
-	start   time.Time // of the process
+	start   time.Time // when the process started
 
-	mu       sync.Mutex
-	most     int   // members seen at a time so far
-	at       int64 // number of the newest bucket
-	requests []int
-	retries  []int
+	mu         sync.Mutex
+	maxMembers int   // highest number of members seen so far
+	newest     int64 // number of the newest bucket
+	requests   []int
+	retries    []int
 }
 
-// NewShare returns the share of a gateway in a fleet of members, itself included. With 0
-// members it has no part of the slack: gateways that stand by are not counted, and 29 of
-// these beside 9 others would use more than all of it. The process started at a time.
+// NewShare returns the share of a gateway. The members function returns the number of
+// gateways in the fleet, including this one, or 0 if this one is on standby. A standby
+// gateway gets no part of the slack: standby gateways are not counted as members, so 29 of
+// them beside 9 active ones would together exceed the slack. The started argument is when
+// the process started.
 func NewShare(limit Limit, members func() int, started time.Time, now func() time.Time) *Share {
-	n := int(limit.Window/bucket) + 1
+	n := int(limit.Window/bucketWidth) + 1
 	return &Share{limit: limit, members: members, now: now, start: started, requests: make([]int, n), retries: make([]int, n)}
 }
 
-// Request counts a request, which earns its part of a retry.
+// Request counts a request, which earns a fraction of a retry.
 func (s *Share) Request() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests[s.advance()]++
 }
 
-// Take uses up one retry and reports false if none is left.
+// Take consumes one retry. It reports false if none is left.
 func (s *Share) Take() bool {
 	members := s.members()
 	s.mu.Lock()
@@ -72,7 +74,7 @@
 }
 
 func (s *Share) has(members int) bool {
-	s.most = max(s.most, members, 1)
+	s.maxMembers = max(s.maxMembers, members, 1)
 	s.advance()
 	slack := 0.0
 	if members > 0 {
@@ -82,25 +84,26 @@
 	return float64(sum(s.retries)+1) <= allowed
 }
 
-// slack returns this gateway's part of the slack. Members that are not heard may
-// still be using theirs. A process that has just started does not know what the
-// one before it used, so its part grows over the first window.
+// slack returns this gateway's part of the slack. It divides by the highest number of
+// members seen, because members that are no longer reachable may still be using their
+// parts. A process that has just started does not know how much its predecessor used, so
+// its part grows over the first window.
 func (s *Share) slack() float64 {
 	age := s.now().Sub(s.start)
-	grown := min(1, float64(age)/float64(s.limit.Window))
-	return grown * s.limit.Slack / float64(s.most)
+	fraction := min(1, float64(age)/float64(s.limit.Window))
+	return fraction * s.limit.Slack / float64(s.maxMembers)
 }
 
-// advance clears the buckets that have left the window and returns the index
-// of the newest.
+// advance clears the buckets that have left the window and returns the index of the newest
+// bucket.
 func (s *Share) advance() int {
 	n := int64(len(s.requests))
-	at := int64(s.now().Sub(s.start) / bucket) // monotonic: the time of day may jump
-	for step := max(s.at+1, at-n+1); step <= at; step++ {
+	newest := int64(s.now().Sub(s.start) / bucketWidth) // monotonic, because the wall clock may jump
+	for step := max(s.newest+1, newest-n+1); step <= newest; step++ {
 		s.requests[step%n], s.retries[step%n] = 0, 0
 	}
-	s.at = max(s.at, at)
-	return int(s.at % n)
+	s.newest = max(s.newest, newest)
+	return int(s.newest % n)
 }
 
 func sum(counts []int) int {
--- a/entry/retry/share_test.go
+++ b/entry/retry/share_test.go
@@ -7,12 +7,12 @@
 	"github.com/matryer/is"
 )
 
-func TestAShareHoldsInEveryWindow(t *testing.T) {
+func TestShareHoldsInEveryWindow(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	limit := Limit{Ratio: 0.2, Slack: 80, Window: 10 * time.Second}
 	share := NewShare(limit, func() int { return 8 }, now, func() time.Time { return now })
-	taken := make(map[int]int) // by tenth of a second
+	taken := make(map[int]int) // retries by tenth of a second
 	for i := range 600 {       // one minute of 10 requests/s, all of which want a retry
 		now = now.Add(100 * time.Millisecond)
 		share.Request()
@@ -28,8 +28,8 @@
 	is.True(len(taken) > 100)
 }
 
-// A process that was paused sees a long jump.
-func TestAShareSurvivesALongPause(t *testing.T) {
+// After a process was paused, its clock jumps by more than a window.
+func TestShareAfterLongPause(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	share := NewShare(Limit{Slack: 10, Window: 10 * time.Second}, func() int { return 1 }, now, func() time.Time { return now })
@@ -50,8 +50,9 @@
 	return n
 }
 
-// What the process before used in this window is not known.
-func TestARestartGivesNoNewSlackAtOnce(t *testing.T) {
+// A restarted process does not know how much of its slack the previous process used in the
+// current window.
+func TestRestartGrantsNoSlackImmediately(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	share := NewShare(Limit{Slack: 80, Window: 10 * time.Second}, func() int { return 1 }, now, func() time.Time { return now })
@@ -60,8 +61,8 @@
 	is.Equal(taken(share), 32)
 }
 
-// A gateway that is cut off from the others must not use their parts.
-func TestSilentMembersKeepTheirPart(t *testing.T) {
+// A gateway that is cut off from the others must not use their parts of the slack.
+func TestUnreachableMembersKeepTheirPart(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	members := 8
@@ -72,9 +73,9 @@
 	is.Equal(taken(share), 8)
 }
 
-// Gateways that stand by are not counted as members, and get a request now and then:
-// all of them together must not use the slack a second time.
-func TestAGatewayThatStandsByHasNoPartOfTheSlack(t *testing.T) {
+// Standby gateways are not counted as members but get occasional requests. Together they
+// must not use the slack a second time.
+func TestStandbyGatewayHasNoPartOfTheSlack(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	members := 0
@@ -84,14 +85,14 @@
 	for range 50 {
 		share.Request()
 	}
-	is.Equal(taken(share), 8) // of its own requests
+	is.Equal(taken(share), 8) // from the ratio of its own requests
 	members = 4
-	is.Equal(taken(share), 16) // and its part, once it carries requests
+	is.Equal(taken(share), 16) // its part of the slack, once it is active
 }
 
-// A service's first request may come long after the start: what a process before this one
-// used has left the window then.
-func TestAServiceThatIsAskedForLateHasItsPartAtOnce(t *testing.T) {
+// The first request for a service may come long after the process started. The slack that
+// the previous process used has left the window by then.
+func TestFirstRequestLongAfterStartHasFullPart(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	share := NewShare(Limit{Slack: 80, Window: 10 * time.Second}, func() int { return 1 }, now.Add(-20*time.Second), func() time.Time { return now })
