--- a/entry/limits/grantor.go
+++ b/entry/limits/grantor.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// LeaseTime is how long a share may be used without renewal. A process
-	// that has run for as long may grant shares.
+	// LeaseTime is how long a share may be used without renewal. A process may grant
+	// shares after it has run for this time.
 	LeaseTime = time.Second
-	// basePart is the part of a limit that is split evenly.
+	// basePart is the fraction of a limit that is split evenly.
 	basePart = 0.25
-	// headroom is the factor by which a grant exceeds the demand, if there is
-	// enough for all.
+	// headroom is the factor by which a grant exceeds the demand if the pool suffices for
+	// all holders.
 	headroom = 1.5
 )
 
-// Base returns the share of a limit that each of n entry VMs always owns. It
-// is at least 1.
+// Base returns the share of a limit that each of n entry VMs always owns. It is at least 1.
 func Base(limit, n int) int {
 	return max(1, int(math.Ceil(basePart*float64(limit)/float64(max(1, n)))))
 }
 
-// pool returns what can be leased to the reachable ones of n entry VMs.
+// pool returns the part of a limit that can be leased to the reachable ones of n entry VMs.
 func pool(limit, n, reachable int) int {
-	rest := max(0, limit-n*Base(limit, n))
-	return rest * min(reachable, n) / max(1, n)
+	remainder := max(0, limit-n*Base(limit, n))
+	return remainder * min(reachable, n) / max(1, n)
 }
 
-// Ask is a request for a share of one team's limit.
+// Ask is a request for a lease on a share of one team's limit.
 type Ask struct {
 	From   vm.ID
-	Demand int // requests running and wanted
-	// HeldSequence, Held and HeldFor tell which lease the holder has.
+	Demand int // number of requests running and refused
+	// HeldSequence, Held and HeldFor are the sequence number, the share and the remaining
+	// time of the lease that the holder has.
 	HeldSequence uint64
 	Held         int
 	HeldFor      time.Duration
@@ -47,17 +47,17 @@
 	Duration time.Duration
 }
 
-// Grantor leases shares of one team's pool. It is a pure state machine and not
-// safe for concurrent use.
+// Grantor leases shares of one team's pool. It is a pure state machine and not safe for
+// concurrent use.
 type Grantor struct {
 	next    uint64
-	holders map[vm.ID]*holding
+	holders map[vm.ID]*holderState
 }
 
-// holding is what one holder may be using.
-type holding struct {
+// holderState is the state of one holder as known to the grantor.
+type holderState struct {
 	demand int
-	leases []lease // newest last; earlier ones count until confirmed or ended
+	leases []lease // newest last; earlier ones count until a later one is confirmed or they end
 }
 
 type lease struct {
@@ -66,27 +66,27 @@
 	until    time.Time
 }
 
-// NewGrantor returns a grantor without leases. Its sequence numbers start at
-// now, so that they differ from those of an earlier one.
+// NewGrantor returns a grantor without leases. Its sequence numbers start at the current
+// time in nanoseconds, so that they differ from those of an earlier grantor.
 func NewGrantor(now time.Time) *Grantor {
-	return &Grantor{next: uint64(now.UnixNano()), holders: make(map[vm.ID]*holding)}
+	return &Grantor{next: uint64(now.UnixNano()), holders: make(map[vm.ID]*holderState)}
 }
 
-// Fleet is how one entry VM sees the others.
+// Fleet is the view that one entry VM has of the fleet.
 type Fleet struct {
 	Listed    int // entry VMs on the list
-	Reachable int // of them usable, this one included
-	// Stable is since when this VM has been the team's grantor. Before, another
-	// one may have been, and its leases may be in use.
+	Reachable int // listed entry VMs that are usable, including this one
+	// Stable is the time since which this VM has been the team's grantor. Leases of an
+	// earlier grantor may still be in use after it.
 	Stable time.Time
 }
 
-// Handle answers a request for a share of the limit.
+// Handle answers a request for a lease on a share of the limit.
 func (g *Grantor) Handle(a Ask, limit int, f Fleet, now time.Time) Grant {
 	g.expire(now)
 	h := g.holders[a.From]
 	if h == nil {
-		h = &holding{}
+		h = &holderState{}
 		g.holders[a.From] = h
 	}
 	h.demand = a.Demand
@@ -95,16 +95,16 @@
 	target := g.target(a.From, pool(limit, f.Listed, f.Reachable), Base(limit, f.Listed))
 	share := max(0, min(target, available))
 	if now.Sub(f.Stable) < LeaseTime {
-		share = min(share, a.Held) // leases of another grantor may be in use
+		share = min(share, a.Held) // leases of an earlier grantor may be in use
 	}
 	g.next++
 	h.leases = append(h.leases, lease{sequence: g.next, share: share, until: now.Add(LeaseTime)})
 	return Grant{Sequence: g.next, Share: share, Duration: LeaseTime}
 }
 
-// confirm drops the leases before the one that the holder says it uses. One
-// that this grantor does not know was given by an earlier grantor.
-func (h *holding) confirm(a Ask, now time.Time) {
+// confirm drops the leases before the one that the holder reports to use. If this grantor
+// does not know that lease, an earlier grantor granted it, and it is added.
+func (h *holderState) confirm(a Ask, now time.Time) {
 	for i, l := range h.leases {
 		if l.sequence == a.HeldSequence {
 			h.leases = h.leases[i:]
@@ -116,8 +116,8 @@
 	}
 }
 
-// using returns the most that the holder may be using.
-func (h *holding) using() int {
+// maxInUse returns the largest share that the holder may be using.
+func (h *holderState) maxInUse() int {
 	most := 0
 	for _, l := range h.leases {
 		most = max(most, l.share)
@@ -129,17 +129,17 @@
 	sum := 0
 	for other, h := range g.holders {
 		if other != id {
-			sum += h.using()
+			sum += h.maxInUse()
 		}
 	}
 	return sum
 }
 
-// target returns a holder's part of the pool: what it wants with some headroom
-// if there is enough, and otherwise the level at which all that want more get
-// the same (max-min fairness).
+// target returns a holder's part of the pool. If the pool suffices for all, this is the
+// holder's demand plus headroom; otherwise it is capped at the level at which all holders
+// that want more get the same (max-min fairness).
 func (g *Grantor) target(id vm.ID, pool, base int) int {
-	want := func(h *holding) int {
+	want := func(h *holderState) int {
 		return max(0, int(headroom*float64(h.demand))+1-base)
 	}
 	total := 0
@@ -166,17 +166,17 @@
 	return min(own, low)
 }
 
-// expire drops leases that have ended, and holders without any.
+// expire drops leases that have ended, and holders without leases.
 func (g *Grantor) expire(now time.Time) {
 	for id, h := range g.holders {
-		kept := h.leases[:0]
+		active := h.leases[:0]
 		for _, l := range h.leases {
 			if now.Before(l.until) {
-				kept = append(kept, l)
+				active = append(active, l)
 			}
 		}
-		h.leases = kept
-		if len(kept) == 0 {
+		h.leases = active
+		if len(active) == 0 {
 			delete(g.holders, id)
 		}
 	}
--- a/entry/limits/holder.go
+++ b/entry/limits/holder.go
@@ -9,26 +9,28 @@
 const (
 	// renewAfter is the age at which a lease in use is renewed.
 	renewAfter = LeaseTime / 3
-	// askAgainAfter is the least time between two asks for more.
-	askAgainAfter = 20 * time.Millisecond
-	// demandWindow is how long refused requests count as demand.
+	// minRequestInterval is the least time between two lease requests caused by refused requests.
+	minRequestInterval = 20 * time.Millisecond
+	// demandWindow is how long a lease is renewed after the last request, admitted or
+	// refused, if none is running.
 	demandWindow = time.Second
 )
 
-// Holder counts one team's requests on one entry VM against its base share and
-// its lease. It is a pure state machine and not safe for concurrent use.
+// Holder counts one team's requests on one entry VM against its base share and its lease.
+// It is a pure state machine and not safe for concurrent use.
 type Holder struct {
-	running  int
-	peak     int // since the last ask
-	refused  int // since the last ask
-	sequence uint64
-	share    int
-	until    time.Time
-	asked    time.Time // when the last ask was sent
-	used     time.Time // when a request was last admitted or refused
+	running   int
+	peak      int // since the last lease request
+	refused   int // since the last lease request
+	sequence  uint64
+	share     int
+	until     time.Time
+	requested time.Time // when the last lease request was sent
+	used      time.Time // when a request was last admitted or refused
 }
 
-// Admit counts a request in if the base share and the lease allow it.
+// Admit reports whether the base share and the lease allow another request. If so, it counts
+// the request as running.
 func (h *Holder) Admit(base int, now time.Time) bool {
 	h.used = now
 	if h.running >= base+h.leased(now) {
@@ -40,10 +42,10 @@
 	return true
 }
 
-// Release counts a request out.
+// Release records that a running request has ended.
 func (h *Holder) Release() { h.running-- }
 
-// Running returns the requests running.
+// Running returns the number of running requests.
 func (h *Holder) Running() int { return h.running }
 
 func (h *Holder) leased(now time.Time) int {
@@ -53,22 +55,23 @@
 	return 0
 }
 
-// WantsMore reports whether a refused request should ask the grantor first.
-func (h *Holder) WantsMore(now time.Time) bool { return now.Sub(h.asked) >= askAgainAfter }
+// WantsMore reports whether a larger share should be requested from the grantor before a
+// request is refused.
+func (h *Holder) WantsMore(now time.Time) bool { return now.Sub(h.requested) >= minRequestInterval }
 
-// Due reports whether the lease should be renewed, or a first one asked for.
+// Due reports whether a lease should be requested, as a renewal or for the first time.
 func (h *Holder) Due(now time.Time) bool {
-	return now.Sub(h.asked) >= renewAfter && (h.running > 0 || now.Sub(h.used) < demandWindow)
+	return now.Sub(h.requested) >= renewAfter && (h.running > 0 || now.Sub(h.used) < demandWindow)
 }
 
-// Idle reports whether the holder can be forgotten.
+// Idle reports whether the holder's state can be dropped.
 func (h *Holder) Idle(now time.Time) bool {
 	return h.running == 0 && !now.Before(h.until) && now.Sub(h.used) > LeaseTime
 }
 
-// Ask returns the request to send at now.
+// Ask returns the lease request to send now.
 func (h *Holder) Ask(self vm.ID, now time.Time) Ask {
-	h.asked = now
+	h.requested = now
 	a := Ask{From: self, Demand: max(h.peak, h.running) + h.refused, HeldSequence: h.sequence, Held: h.leased(now)}
 	if a.Held > 0 {
 		a.HeldFor = h.until.Sub(now)
@@ -77,11 +80,11 @@
 	return a
 }
 
-// Granted takes over the answer to an ask that was sent at the given time. An
-// answer that comes later than that of a newer ask is ignored.
+// Granted applies the answer to a lease request that was sent at the given time. An answer
+// that arrives after the answer to a newer lease request is ignored.
 func (h *Holder) Granted(g Grant, sent time.Time) {
 	until := sent.Add(g.Duration)
-	overtaken := until.Equal(h.until) && g.Sequence < h.sequence // asked for at the same instant
+	overtaken := until.Equal(h.until) && g.Sequence < h.sequence // both were requested at the same instant
 	if until.Before(h.until) || overtaken {
 		return
 	}
--- a/entry/limits/limits.go
+++ b/entry/limits/limits.go
@@ -16,46 +16,45 @@
 )
 
 const (
-	// retryAfter is when a caller may come back after its team's limit was hit.
+	// retryAfter is the delay suggested to a caller whose team has reached its limit.
 	retryAfter = time.Second
 	// shardCount is the number of independently locked parts of a Limiter.
 	shardCount = 16
-	// askTimeout bounds an exchange with a grantor.
-	askTimeout = 300 * time.Millisecond
-	// renewInterval is how often leases are looked over.
+	// callTimeout bounds the time of a call to a grantor.
+	callTimeout = 300 * time.Millisecond
+	// renewInterval is how often leases are checked for renewal.
 	renewInterval = 200 * time.Millisecond
 )
 
-// TeamAsk is an ask for one team.
+// TeamAsk is a lease request for one team.
 type TeamAsk struct {
 	Team string
 	Ask
 }
 
-// TeamGrant is a grant for one team.
+// TeamGrant is a granted lease for one team.
 type TeamGrant struct {
 	Team string
 	Grant
 }
 
-// Network is what a Limiter needs of its process.
+// Network provides a Limiter with the state of its process and with calls to other entry VMs.
 type Network interface {
-	// Listed returns how many entry VMs there are.
+	// Listed returns the number of entry VMs on the list.
 	Listed() int
-	// Fleet returns how this VM sees the others, as a team's grantor.
+	// Fleet returns this VM's view of the fleet, for its role as the team's grantor.
 	Fleet(team string) Fleet
-	// Grantors returns the entry VMs that grant shares of a team's limit, in
-	// order of preference. The second one, asked when the first does not
-	// answer, confirms what a holder has, so that it outlives the first.
+	// Grantors returns the entry VMs that grant shares of a team's limit, in order of
+	// preference. The second one is called if the first does not answer. It only renews
+	// the leases that holders have, so that they survive the failure of the first.
 	Grantors(team string) [2]vm.ID
-	// Ask sends asks to a grantor; to itself if that is this VM.
-	Ask(ctx context.Context, grantor vm.ID, asks []TeamAsk) ([]TeamGrant, error)
+	// Ask sends lease requests to a grantor, which may be this VM itself.
+	Ask(ctx context.Context, grantor vm.ID, requests []TeamAsk) ([]TeamGrant, error)
 	// Team returns a team's resource.
 	Team(name string) (resource.Team, bool)
 }
 
-// Limiter admits requests within the teams' limits. It is safe for concurrent
-// use.
+// Limiter admits requests within the teams' limits. It is safe for concurrent use.
 type Limiter struct {
 	self    vm.ID
 	net     Network
@@ -71,9 +70,9 @@
 }
 
 type teamState struct {
-	holder Holder
-	rate   *rate.Limiter // nil without a rate limit
-	asking chan struct{} // closed when the ask under way has ended
+	holder  Holder
+	rate    *rate.Limiter // nil without a rate limit
+	pending chan struct{} // closed when the lease request in progress has ended; nil if there is none
 }
 
 type grantorShard struct {
@@ -93,17 +92,18 @@
 
 func (l *Limiter) index(team string) uint64 { return maphash.String(l.seed, team) % shardCount }
 
-// Admit counts a request of the team in, asking the team's grantor for more if
-// that is needed. The release function must be called once.
+// Admit admits a request of the team or returns the refusal. If necessary it requests a
+// larger share from the team's grantor and waits for the answer. The release function must
+// be called once.
 func (l *Limiter) Admit(ctx context.Context, name string) (release func(), refusal *contract.Refusal) {
 	team, ok := l.net.Team(name)
 	if !ok {
 		return nil, &contract.Refusal{Outcome: contract.NotRun, Reason: contract.ReasonUnknownTeam}
 	}
-	admitted, asking := l.tryAdmit(name, team)
-	if !admitted && asking != nil {
+	admitted, pending := l.tryAdmit(name, team)
+	if !admitted && pending != nil {
 		select {
-		case <-asking:
+		case <-pending:
 		case <-ctx.Done():
 		}
 		admitted, _ = l.tryAdmit(name, team)
@@ -114,8 +114,9 @@
 	return func() { l.release(name) }, nil
 }
 
-// tryAdmit admits a request or returns a channel to wait for more with.
-func (l *Limiter) tryAdmit(name string, team resource.Team) (admitted bool, asking <-chan struct{}) {
+// tryAdmit admits a request. Otherwise it returns a channel that is closed when the lease
+// request in progress has ended, or nil if there is none.
+func (l *Limiter) tryAdmit(name string, team resource.Team) (admitted bool, pending <-chan struct{}) {
 	s := &l.shards[l.index(name)]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,18 +133,19 @@
 	if t.holder.Admit(Base(team.Concurrency, listed), now) {
 		return true, nil
 	}
-	if t.asking == nil && t.holder.WantsMore(now) {
-		t.asking = make(chan struct{})
-		l.workers.Go(func() { l.askFor(name, t) })
+	if t.pending == nil && t.holder.WantsMore(now) {
+		t.pending = make(chan struct{})
+		l.workers.Go(func() { l.requestShare(name, t) })
 	}
-	if t.asking == nil {
+	if t.pending == nil {
 		return false, nil
 	}
-	return false, t.asking
+	return false, t.pending
 }
 
-// withinRate reports whether this entry VM's part of the team's rate allows a
-// request: the part of the concurrency that it may use, and at least an even one.
+// withinRate reports whether this entry VM's part of the team's rate limit allows a request.
+// That part is the fraction of the team's concurrency that this VM may use, and at least
+// basePart of an even part.
 func (t *teamState) withinRate(team resource.Team, listed int, now time.Time) bool {
 	if team.RequestsPerSecond == 0 {
 		t.rate = nil
@@ -160,43 +162,45 @@
 	return t.rate.AllowN(now, 1)
 }
 
-// askFor asks a team's grantor for a larger share.
-func (l *Limiter) askFor(name string, t *teamState) {
+// requestShare requests a larger share from a team's grantor.
+func (l *Limiter) requestShare(name string, t *teamState) {
 	s := &l.shards[l.index(name)]
 	s.mu.Lock()
 	sent := clock.Now()
-	ask := TeamAsk{Team: name, Ask: t.holder.Ask(l.self, sent)}
+	request := TeamAsk{Team: name, Ask: t.holder.Ask(l.self, sent)}
 	s.mu.Unlock()
-	l.exchange([]TeamAsk{ask}, sent)
+	l.exchange([]TeamAsk{request}, sent)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(t.asking)
-	t.asking = nil
+	close(t.pending)
+	t.pending = nil
 }
 
-// exchange asks the teams' grantors and, for those that do not answer, the
-// second ones. Without any answer leases run out and base shares stay.
-func (l *Limiter) exchange(asks []TeamAsk, sent time.Time) {
+// exchange sends the lease requests to the teams' first grantors and, for those that do not
+// answer, to the second ones. If neither answers, the leases expire and only the base shares
+// remain.
+func (l *Limiter) exchange(requests []TeamAsk, sent time.Time) {
 	for choice := range 2 {
 		byGrantor := make(map[vm.ID][]TeamAsk)
-		for _, a := range asks {
+		for _, a := range requests {
 			to := l.net.Grantors(a.Team)[choice]
 			byGrantor[to] = append(byGrantor[to], a)
 		}
-		asks = nil
+		requests = nil
 		for grantor, list := range byGrantor {
-			if !l.ask(grantor, list, sent) {
-				asks = append(asks, list...)
+			if !l.call(grantor, list, sent) {
+				requests = append(requests, list...)
 			}
 		}
 	}
 }
 
-// ask makes one exchange with one grantor and reports whether it answered.
-func (l *Limiter) ask(grantor vm.ID, asks []TeamAsk, sent time.Time) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+// call sends lease requests to one grantor, applies the granted leases and reports whether the
+// grantor answered.
+func (l *Limiter) call(grantor vm.ID, requests []TeamAsk, sent time.Time) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	grants, err := l.net.Ask(ctx, grantor, asks)
+	grants, err := l.net.Ask(ctx, grantor, requests)
 	if err != nil {
 		return false
 	}
@@ -218,7 +222,7 @@
 	s.teams[name].holder.Release()
 }
 
-// Run renews leases and forgets idle teams until the context ends.
+// Run renews leases and drops the state of idle teams until the context ends.
 func (l *Limiter) Run(ctx context.Context) {
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
@@ -235,32 +239,32 @@
 	}
 }
 
-// renew asks for all leases that are due, one exchange a grantor.
+// renew requests all leases that are due, with one call per grantor.
 func (l *Limiter) renew(now time.Time) {
-	asks := make(map[vm.ID][]TeamAsk)
+	requests := make(map[vm.ID][]TeamAsk)
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock()
 		for name, t := range s.teams {
 			switch {
-			case t.holder.Idle(now) && t.asking == nil:
+			case t.holder.Idle(now) && t.pending == nil:
 				delete(s.teams, name)
 			case t.holder.Due(now):
 				to := l.net.Grantors(name)[0]
-				asks[to] = append(asks[to], TeamAsk{Team: name, Ask: t.holder.Ask(l.self, now)})
+				requests[to] = append(requests[to], TeamAsk{Team: name, Ask: t.holder.Ask(l.self, now)})
 			}
 		}
 		s.mu.Unlock()
 	}
-	for _, list := range asks {
+	for _, list := range requests {
 		l.workers.Go(func() { l.exchange(list, now) })
 	}
 }
 
-// Grant answers asks as the grantor of their teams.
-func (l *Limiter) Grant(asks []TeamAsk) []TeamGrant {
-	out := make([]TeamGrant, 0, len(asks))
-	for _, a := range asks {
+// Grant answers lease requests as the grantor of their teams.
+func (l *Limiter) Grant(requests []TeamAsk) []TeamGrant {
+	out := make([]TeamGrant, 0, len(requests))
+	for _, a := range requests {
 		team, ok := l.net.Team(a.Team)
 		if !ok {
 			continue
@@ -293,7 +297,7 @@
 	}
 }
 
-// Teams returns how many teams cost memory here.
+// Teams returns the number of teams whose state is held in memory.
 func (l *Limiter) Teams() int {
 	n := 0
 	for i := range l.shards {
--- a/entry/limits/limits_test.go
+++ b/entry/limits/limits_test.go
@@ -15,16 +15,16 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// exchange is an ask on its way, with its answer once it was handled.
+// exchange is a lease request in transit, with its answer once the grantor has handled it.
 type exchange struct {
-	holder int
-	ask    Ask
-	sent   time.Time
-	grant  *Grant
+	holder  int
+	request Ask
+	sent    time.Time
+	grant   *Grant
 }
 
-// Whatever is delayed, lost, reordered or answered twice, what the holders may
-// use together stays within the pool.
+// Whichever messages are delayed, lost or reordered, the sum of the leased shares stays within
+// the pool.
 func TestLeasesNeverExceedThePool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit, listed = 100, 4
@@ -32,29 +32,29 @@
 		now := start
 		grantor := NewGrantor(now)
 		holders := make([]Holder, listed)
-		var flying []*exchange
+		var inTransit []*exchange
 		for range 120 {
 			i := rapid.IntRange(0, listed-1).Draw(t, "holder")
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
-			case 0: // ask
+			case 0: // send a lease request
 				holders[i].peak = rapid.IntRange(0, 150).Draw(t, "demand")
-				flying = append(flying, &exchange{holder: i, ask: holders[i].Ask(vm.ID(fmt.Sprint(i)), now), sent: now})
-			case 1, 2: // the grantor handles an ask, or the holder its answer
-				if len(flying) == 0 {
+				inTransit = append(inTransit, &exchange{holder: i, request: holders[i].Ask(vm.ID(fmt.Sprint(i)), now), sent: now})
+			case 1, 2: // the grantor handles a lease request, or the holder its answer
+				if len(inTransit) == 0 {
 					continue
 				}
-				k := rapid.IntRange(0, len(flying)-1).Draw(t, "message")
-				e := flying[k]
+				k := rapid.IntRange(0, len(inTransit)-1).Draw(t, "message")
+				e := inTransit[k]
 				if e.grant == nil {
-					g := grantor.Handle(e.ask, limit, fleet, now)
+					g := grantor.Handle(e.request, limit, fleet, now)
 					e.grant = &g
 					continue
 				}
 				holders[e.holder].Granted(*e.grant, e.sent)
-				flying = append(flying[:k], flying[k+1:]...)
-			case 3: // lost
-				if len(flying) > 0 {
-					flying = flying[1:]
+				inTransit = append(inTransit[:k], inTransit[k+1:]...)
+			case 3: // a message is lost
+				if len(inTransit) > 0 {
+					inTransit = inTransit[1:]
 				}
 			default:
 				now = now.Add(time.Duration(rapid.IntRange(1, 700).Draw(t, "ms")) * time.Millisecond)
@@ -70,9 +70,9 @@
 	})
 }
 
-// The grantor takes the holder's next ask, which names the newer lease, as proof that
-// the older one is not in use.
-func TestAnOlderAnswerOfTheSameInstantIsIgnored(t *testing.T) {
+// The holder's next lease request names the newer lease, which the grantor takes as proof that
+// the older one is not in use. So the older answer must not be applied after the newer one.
+func TestOlderAnswerOfSameInstantIsIgnored(t *testing.T) {
 	is := is.New(t)
 	var h Holder
 	h.Granted(Grant{Sequence: 2, Share: 0, Duration: LeaseTime}, start)
@@ -83,7 +83,7 @@
 	is.Equal(h.leased(start), 10)
 }
 
-func TestANewGrantorGrantsNothingMoreUntilEarlierLeasesEnded(t *testing.T) {
+func TestNewGrantorGrantsNothingMoreUntilEarlierLeasesEnded(t *testing.T) {
 	is := is.New(t)
 	fleet := Fleet{Listed: 4, Reachable: 4, Stable: start}
 	g := NewGrantor(start)
@@ -93,7 +93,7 @@
 	is.True(g.Handle(Ask{From: "a", Demand: 20}, 100, fleet, start.Add(2*LeaseTime)).Share > 0)
 }
 
-func TestASilentHoldersShareReturnsAfterItsLease(t *testing.T) {
+func TestShareOfUnresponsiveHolderReturnsAfterItsLease(t *testing.T) {
 	is := is.New(t)
 	fleet := Fleet{Listed: 2, Reachable: 2, Stable: start.Add(-time.Hour)}
 	g := NewGrantor(start)
@@ -111,7 +111,7 @@
 	holders := map[vm.ID]*Holder{"a": {}, "b": {}, "c": {}}
 	demand := map[vm.ID]int{"a": 500, "b": 500, "c": 10}
 	now := start
-	for range 12 { // the holders renew, and the shares settle
+	for range 12 { // the holders renew until the shares converge
 		for id, h := range holders {
 			h.peak = demand[id]
 			h.Granted(g.Handle(h.Ask(id, now), 120, fleet, now), now)
@@ -139,14 +139,14 @@
 }
 func (n *network) Grantors(string) [2]vm.ID          { return n.grantors }
 func (n *network) Team(string) (resource.Team, bool) { return n.team, true }
-func (n *network) Ask(_ context.Context, to vm.ID, asks []TeamAsk) ([]TeamGrant, error) {
+func (n *network) Ask(_ context.Context, to vm.ID, requests []TeamAsk) ([]TeamGrant, error) {
 	if n.cut || to == n.dead {
 		return nil, context.DeadlineExceeded
 	}
-	return n.limiters[to].Grant(asks), nil
+	return n.limiters[to].Grant(requests), nil
 }
 
-func TestOneEntryVMGetsNearlyTheWholeLimitWhileOthersAreIdle(t *testing.T) {
+func TestOneEntryVMGetsMostOfTheLimitWhileOthersAreIdle(t *testing.T) {
 	is := is.New(t)
 	n := &network{limiters: map[vm.ID]*Limiter{}, grantors: [2]vm.ID{"a", "b"}, team: resource.Team{Concurrency: 80}}
 	for _, id := range []vm.ID{"a", "b", "c", "d"} {
@@ -157,19 +157,19 @@
 		if _, refusal := n.limiters["b"].Admit(t.Context(), "t"); refusal == nil {
 			admitted++
 		} else {
-			time.Sleep(askAgainAfter) // a caller that comes back
+			time.Sleep(minRequestInterval) // a caller that retries
 		}
 		if admitted == 65 {
 			break
 		}
 	}
-	is.Equal(admitted, 65) // base 5 + pool 60; a static quarter would be 20
+	is.Equal(admitted, 65) // base 5 + pool 60; a static split would allow 20
 	_, refusal := n.limiters["b"].Admit(t.Context(), "t")
 	is.True(refusal != nil)
 	is.Equal(string(refusal.Outcome), "not-run")
 }
 
-func TestWithoutAGrantorTheBaseShareStays(t *testing.T) {
+func TestBaseShareRemainsWithoutGrantor(t *testing.T) {
 	is := is.New(t)
 	n := &network{limiters: map[vm.ID]*Limiter{}, grantors: [2]vm.ID{"a", "b"}, team: resource.Team{Concurrency: 80}, cut: true}
 	for _, id := range []vm.ID{"a", "b", "c", "d"} {
@@ -183,7 +183,7 @@
 	is.True(refusal != nil)
 }
 
-func TestIdleTeamsCostNoMemory(t *testing.T) {
+func TestIdleTeamsUseNoMemory(t *testing.T) {
 	is := is.New(t)
 	n := &network{limiters: map[vm.ID]*Limiter{}, grantors: [2]vm.ID{"a", "b"}, team: resource.Team{Concurrency: 80}}
 	l := New("a", n)
@@ -199,11 +199,11 @@
 	is.Equal(l.Teams(), 0)
 }
 
-// The grantor dies; the second one, which nobody told so yet, confirms what
-// holders have, so that it does not run out before a new grantor may grant.
-func TestASecondGrantorKeepsHoldersGoing(t *testing.T) {
+// The grantor fails. The second one, which does not know of the failure yet, renews the leases
+// that holders have, so that they do not expire before a new grantor may grant.
+func TestSecondGrantorRenewsHeldLeases(t *testing.T) {
 	is := is.New(t)
-	second := Fleet{Listed: 4, Reachable: 4, Stable: start.Add(time.Hour)} // not the grantor in its own view
+	second := Fleet{Listed: 4, Reachable: 4, Stable: start.Add(time.Hour)} // not the grantor in the second one's view
 	first := Fleet{Listed: 4, Reachable: 4, Stable: start.Add(-time.Hour)}
 	a, b := NewGrantor(start), NewGrantor(start)
 	var h Holder
@@ -220,7 +220,7 @@
 	}
 }
 
-func TestTheSecondGrantorIsAskedWhenTheFirstIsDead(t *testing.T) {
+func TestSecondGrantorIsCalledWhenFirstIsDown(t *testing.T) {
 	is := is.New(t)
 	n := &network{limiters: map[vm.ID]*Limiter{}, grantors: [2]vm.ID{"a", "b"}, team: resource.Team{Concurrency: 80}, dead: "a"}
 	for _, id := range []vm.ID{"a", "b", "c", "d"} {
--- a/entry/limits/suspended_test.go
+++ b/entry/limits/suspended_test.go
@@ -10,9 +10,10 @@
 	"baywall.example/core/vm"
 )
 
-// A VM was suspended for longer than its leases last. Its steady clock stood still, so it
-// went on with shares that its grantor had given to others meanwhile.
-func TestALeaseRunsOutWhileSuspended(t *testing.T) {
+// The monotonic clock of a VM stops while the VM is suspended. Without a correction, a VM that
+// was suspended for longer than a lease lasts keeps using a share that its grantor has granted
+// to others in the meantime.
+func TestLeaseExpiresWhileSuspended(t *testing.T) {
 	is := is.New(t)
 	n := &network{limiters: map[vm.ID]*Limiter{}, grantors: [2]vm.ID{"a", "b"}, team: resource.Team{Concurrency: 80}}
 	for _, id := range []vm.ID{"a", "b", "c", "d"} {
