--- a/entry/dispatch/dispatch.go
+++ b/entry/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch carries one request through its attempts: it picks a backend
-// server, talks to its agent over a link, passes the answer on, and lets
-// package retry decide when something fails.
+// Package dispatch executes one request: it picks a backend server, sends the request to the
+// server's agent over a link, forwards the answer, and follows the decisions of package retry
+// when an attempt fails.
 package dispatch
 
 import (
@@ -27,41 +27,41 @@
 	"baywall.example/entry/routing/twochoices"
 )
 
-// Errors of the dispatch layer.
+// Errors returned by a Dispatcher.
 var (
-	// ErrAborted means that an answer was begun and cannot be finished. The
-	// caller's connection has to be cut, so that it sees that.
+	// ErrAborted means that an answer was started and cannot be completed. The caller's
+	// connection must be cut, so that the caller notices the failure.
 	ErrAborted = eris.New("dispatch: answer aborted")
-	// ErrCallerGone means that the caller does not take its answer any more.
+	// ErrCallerGone means that the caller no longer accepts its answer.
 	ErrCallerGone = eris.New("dispatch: caller gone")
 )
 
-// Request is what a caller sent.
+// Request is a caller's request.
 type Request struct {
 	Method  string
-	Path    string // with query
+	Path    string // including the query
 	Headers []*wire.Header
 	Body    []byte
 	Key     uint64 // hash of the prompt prefix
 }
 
-// Place tells which agent incarnation holds which attempt; with it the caller
-// can get the rest of its answer through another entry VM.
+// Place identifies an attempt and the agent incarnation that holds it. With it, the caller can
+// get the rest of its answer through another entry VM.
 type Place struct {
 	VM          vm.ID
 	Incarnation vm.Incarnation
 	Attempt     contract.AttemptID
 }
 
-// Sink takes the answer. Calls come from one goroutine.
+// Sink receives the answer. Its methods are called from one goroutine.
 type Sink interface {
-	// Head begins the answer.
+	// Head starts the answer.
 	Head(status int, headers []*wire.Header, at Place) error
-	// Data passes on a piece of the answer's body.
+	// Data delivers the next part of the answer's body.
 	Data(p []byte) error
 }
 
-// Dispatcher carries requests. It is safe for concurrent use.
+// Dispatcher executes requests. It is safe for concurrent use.
 type Dispatcher struct {
 	directory *backend.Directory
 	config    *configuration.Store
@@ -73,14 +73,14 @@
 	budgets  map[string]*retry.Budget
 }
 
-// servicePolicy is a strategy with the routing intent it was made for.
+// servicePolicy is a routing policy with the routing intent that it was created for.
 type servicePolicy struct {
 	policy routing.Policy
 	intent resource.Intent
 }
 
-// New returns a dispatcher that shares what it learns of requests which end backend
-// servers in a table.
+// New returns a dispatcher. It records in the suspects table which requests bring down backend
+// servers; the table reports them to other entry VMs.
 func New(directory *backend.Directory, config *configuration.Store, recorder *timeline.Recorder, suspects *quarantine.Table) *Dispatcher {
 	return &Dispatcher{
 		directory: directory, config: config, recorder: recorder, suspects: suspects,
@@ -88,7 +88,7 @@
 	}
 }
 
-// policy returns the strategy of a service's routing intent.
+// policy returns the routing policy of a service's routing intent.
 func (d *Dispatcher) policy(view *configuration.View, service string) routing.Policy {
 	var intent resource.Intent
 	if i := view.Intents[service]; i != nil {
@@ -109,7 +109,7 @@
 	return have.policy
 }
 
-// NewPolicy returns the strategy that a routing intent asks for.
+// NewPolicy returns the routing policy that a routing intent specifies.
 func NewPolicy(i resource.Intent) routing.Policy {
 	switch i.Policy {
 	case resource.PolicyRoundRobin:
@@ -123,6 +123,7 @@
 	}
 }
 
+// budget returns the retry budget of a service.
 func (d *Dispatcher) budget(service string) *retry.Budget {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -134,9 +135,9 @@
 	return b
 }
 
-// Serve carries the request and streams its answer to the sink. It returns nil
-// if the whole answer was passed on, a *contract.Refusal if nothing was, and
-// ErrAborted or ErrCallerGone otherwise.
+// Serve executes the request and streams its answer to the sink. It returns nil if the complete
+// answer was forwarded, a *contract.Refusal if nothing was, and ErrAborted or ErrCallerGone
+// otherwise.
 func (d *Dispatcher) Serve(ctx context.Context, c contract.Contract, r Request, sink Sink) error {
 	budget := d.budget(c.Service)
 	budget.Earn()
@@ -149,11 +150,10 @@
 	return x.run(ctx)
 }
 
-// Resume streams the rest of an answer, from the offset on, from the place
-// where it is held.
+// Resume streams the rest of an answer, starting at the offset, from the agent that holds it.
 func (d *Dispatcher) Resume(ctx context.Context, at Place, offset int64, deadline time.Time, sink Sink) error {
 	x := &exchange{
-		d: d, sink: sink, place: at, offset: offset,
+		d: d, sink: sink, location: at, offset: offset,
 		contract: contract.Contract{Request: at.Attempt.Request, Deadline: deadline},
 		sequence: retry.Sequence{Deadline: deadline, Budget: retry.NewBudget()},
 	}
@@ -164,19 +164,19 @@
 	x.backend = b
 	ctx, cancel := clock.WithDeadline(ctx, deadline)
 	defer cancel()
-	return x.settle(ctx, result{event: retry.EventHeld})
+	return x.resolve(ctx, result{event: retry.EventHeld})
 }
 
-// Pick chooses up to n distinct backend servers of a service for tickets. The
-// incarnation of their agents is known afterwards: those not linked yet, as on
-// an entry VM outside of the service's subset, are linked now.
+// Pick chooses up to n distinct backend servers of a service for tickets. The incarnations of
+// their agents are known afterwards: Pick establishes missing links, for instance on an entry VM
+// outside of the service's subset.
 func (d *Dispatcher) Pick(ctx context.Context, service string, n int) []*backend.Backend {
 	choice := d.directory.Usable(service)
 	var out []*backend.Backend
 	policy := twochoices.Policy{}
 	for len(out) < n && len(choice.Runners) > 0 {
 		i := policy.Pick(choice.Runners, 0)
-		if d.linked(ctx, choice.Backends[i]) {
+		if d.ensureLinked(ctx, choice.Backends[i]) {
 			out = append(out, choice.Backends[i])
 		}
 		choice = without(choice, i)
@@ -184,7 +184,9 @@
 	return out
 }
 
-func (d *Dispatcher) linked(ctx context.Context, b *backend.Backend) bool {
+// ensureLinked establishes a link to the server's agent unless its incarnation is known already, and
+// reports whether the incarnation is known.
+func (d *Dispatcher) ensureLinked(ctx context.Context, b *backend.Backend) bool {
 	if b.Incarnation() != 0 {
 		return true
 	}
@@ -192,6 +194,7 @@
 	return err == nil && b.Incarnation() != 0
 }
 
+// without returns the choice without its i-th server.
 func without(c backend.Choice, i int) backend.Choice {
 	out := backend.Choice{}
 	for j := range c.Runners {
--- a/entry/dispatch/exchange.go
+++ b/entry/dispatch/exchange.go
@@ -19,13 +19,12 @@
 )
 
 const (
-	// fateTimeout is how long an unreachable agent is asked for a fate before
-	// the caller is told "unknown", and how long a cut answer is tried to be
-	// resumed.
-	fateTimeout = 1500 * time.Millisecond
-	// fateInterval is the time between two such tries.
-	fateInterval = 50 * time.Millisecond
-	// overloadRetryAfter is when callers may come back after an overload.
+	// outcomeTimeout bounds the time for which an agent is queried for the outcome of an attempt
+	// before the caller gets "unknown", and for which resuming an interrupted answer is tried.
+	outcomeTimeout = 1500 * time.Millisecond
+	// outcomeInterval is the time between two such tries.
+	outcomeInterval = 50 * time.Millisecond
+	// overloadRetryAfter is the delay suggested to callers after an overload.
 	overloadRetryAfter = time.Second
 )
 
@@ -37,37 +36,40 @@
 	sink     Sink
 	sequence retry.Sequence
 	tried    []*backend.Backend
-	digest   *quarantine.Fingerprint // nil = not needed yet
-	suspect  quarantine.Attempt      // the present one
-	closed   backend.Closed          // one that turned it away for a limit or a rest, or all of them
+	digest   *quarantine.Fingerprint // computed on first use
+	suspect  quarantine.Attempt      // of the current attempt
+	// closed is why and until when a server refused the request for a rate limit or a backoff,
+	// or why and until when all of them do.
+	closed backend.Closed
 
-	backend *backend.Backend // of the present attempt
-	place   Place
-	sent    time.Time
-	begun   bool  // the head was passed on
-	status  int   // of the answer
-	offset  int64 // of the next byte of the answer
+	backend  *backend.Backend // of the current attempt
+	location Place
+	sent     time.Time
+	headSent bool  // whether the head was forwarded
+	status   int   // of the answer
+	offset   int64 // of the next byte of the answer
 }
 
 // result is how an attempt, a query or a resumption ended.
 type result struct {
-	done    bool
-	err     error // final: the caller has gone
+	done    bool  // the answer is complete
+	err     error // ends the request, for instance because the caller has gone
 	event   retry.Event
 	refusal contract.Refusal
 }
 
+// run makes attempts until one of them decides the request.
 func (x *exchange) run(ctx context.Context) error {
 	for {
-		if !x.admitted(ctx) {
-			return x.settleQuarantined()
+		if !x.waitAdmitted(ctx) {
+			return x.refuseQuarantined()
 		}
 		if !x.choose() {
 			x.suspect.Release()
-			return x.settleNoBackend(ctx)
+			return x.refuseNoBackend(ctx)
 		}
-		err := x.settle(ctx, x.attempt(ctx))
-		x.noteSuccess(err)
+		err := x.resolve(ctx, x.attempt(ctx))
+		x.recordSuccess(err)
 		x.suspect.Release()
 		if !eris.Is(err, errRetry) {
 			return err
@@ -75,12 +77,12 @@
 	}
 }
 
-// errRetry asks run for another attempt.
+// errRetry makes run start another attempt.
 var errRetry = eris.New("dispatch: retry")
 
-// settle follows the decisions after a result until the request has ended or
-// another attempt is due.
-func (x *exchange) settle(ctx context.Context, r result) error {
+// resolve carries out the decisions that follow a result until the request has ended or another
+// attempt is due.
+func (x *exchange) resolve(ctx context.Context, r result) error {
 	for {
 		if r.done {
 			return nil
@@ -94,26 +96,27 @@
 			x.record(timeline.KindRetry, string(r.refusal.Reason))
 			return errRetry
 		case retry.ActionQuery:
-			r = x.queryFate(ctx)
+			r = x.queryOutcome(ctx)
 		case retry.ActionResume:
 			r = x.resume(ctx)
 		default:
-			if x.begun {
+			if x.headSent {
 				x.record(timeline.KindRefused, "answer cut: "+string(decision.Refusal.Reason))
 				return ErrAborted
 			}
 			return &decision.Refusal
 		}
-		if x.begun && !r.done && r.err == nil && r.event != retry.EventCut {
+		if x.headSent && !r.done && r.err == nil && r.event != retry.EventCut {
 			x.record(timeline.KindRefused, "answer cut")
 			return ErrAborted
 		}
 	}
 }
 
-func (x *exchange) settleNoBackend(ctx context.Context) error {
+// refuseNoBackend refuses a request for which no backend server can be chosen.
+func (x *exchange) refuseNoBackend(ctx context.Context) error {
 	if x.contract.Ticket != nil {
-		return x.settle(ctx, result{event: retry.EventNoFate, refusal: contract.Refusal{Reason: contract.ReasonReplacedAgent}})
+		return x.resolve(ctx, result{event: retry.EventNoFate, refusal: contract.Refusal{Reason: contract.ReasonReplacedAgent}})
 	}
 	reason, after := contract.ReasonNoBackend, time.Duration(0)
 	if x.closed.Reason != "" {
@@ -121,8 +124,8 @@
 	} else if len(x.d.directory.Usable(x.contract.Service).Runners) > 0 {
 		reason, after = contract.ReasonOverload, overloadRetryAfter
 	}
-	x.sequence.Deadline = time.Time{} // nothing left to retry on
-	return x.settle(ctx, result{event: retry.EventRefused, refusal: contract.Refusal{Outcome: contract.NotRun, Reason: reason, RetryAfter: after}})
+	x.sequence.Deadline = time.Time{} // prevents a retry: no server is left for it
+	return x.resolve(ctx, result{event: retry.EventRefused, refusal: contract.Refusal{Outcome: contract.NotRun, Reason: reason, RetryAfter: after}})
 }
 
 func (x *exchange) record(kind timeline.Kind, reason string) {
@@ -133,7 +136,7 @@
 	x.d.recorder.Record(timeline.Event{Kind: kind, Request: string(x.contract.Request), Subject: subject, Reason: reason})
 }
 
-// choose picks the backend server of the next attempt.
+// choose picks the backend server for the next attempt. It reports false if there is none.
 func (x *exchange) choose() bool {
 	if t := x.contract.Ticket; t != nil {
 		b, ok := x.d.directory.Find(t.VM)
@@ -179,8 +182,8 @@
 	return best
 }
 
-// untried leaves out the backend servers tried before and, if there are
-// others, those in the availability zone of the last one.
+// untried returns the choice without the backend servers tried before and, if others remain,
+// without those in the availability zone of the last one.
 func (x *exchange) untried(c backend.Choice) backend.Choice {
 	last := x.tried[len(x.tried)-1].VM().Zone
 	var all, other backend.Choice
@@ -210,8 +213,7 @@
 	return false
 }
 
-// attempt sends the request to the chosen backend server's agent and passes
-// the answer on.
+// attempt sends the request to the chosen backend server's agent and forwards the answer.
 func (x *exchange) attempt(ctx context.Context) result {
 	number := x.sequence.Begin()
 	x.backend.Runner.Begin()
@@ -225,7 +227,7 @@
 		return result{event: retry.EventNotSent, refusal: contract.Refusal{Reason: contract.ReasonNoBackend}}
 	}
 	defer s.Close()
-	x.place = Place{
+	x.location = Place{
 		VM: l.Remote, Incarnation: l.Incarnation,
 		Attempt: contract.AttemptID{Request: x.contract.Request, Number: number},
 	}
@@ -251,8 +253,8 @@
 	return w
 }
 
-// receive passes an answer on until it ends. While there is no head yet, the
-// agent's silence counts as a lost link.
+// receive forwards an answer until it ends. Before the head has arrived, an agent that stops
+// responding counts as a lost link.
 func (x *exchange) receive(ctx context.Context, s *link.Stream) result {
 	wake := func() { s.SetReadDeadline(time.Unix(1, 0)) }
 	stopCaller := context.AfterFunc(ctx, wake)
@@ -262,9 +264,9 @@
 	for {
 		reply, err := s.RecvReply()
 		if err != nil {
-			return x.broken(ctx, s)
+			return x.interrupted(ctx, s)
 		}
-		if x.begun {
+		if x.headSent {
 			stopAlive()
 		}
 		switch body := reply.GetBody().(type) {
@@ -277,75 +279,75 @@
 				return result{err: err}
 			}
 		case *wire.Reply_End:
-			if !x.mine(body.End.GetRequestId(), body.End.GetNumber()) || body.End.GetSize() != x.offset {
-				return x.broken(ctx, s)
+			if !x.isCurrent(body.End.GetRequestId(), body.End.GetNumber()) || body.End.GetSize() != x.offset {
+				return x.interrupted(ctx, s)
 			}
 			return result{done: true}
 		case *wire.Reply_Refusal:
 			return x.refused(body.Refusal)
 		default:
-			return x.broken(ctx, s)
+			return x.interrupted(ctx, s)
 		}
 	}
 }
 
-// mine reports whether a message belongs to the present attempt.
-func (x *exchange) mine(request string, number uint32) bool {
-	return request == string(x.place.Attempt.Request) && number == x.place.Attempt.Number
+// isCurrent reports whether a message belongs to the current attempt.
+func (x *exchange) isCurrent(request string, number uint32) bool {
+	return request == string(x.location.Attempt.Request) && number == x.location.Attempt.Number
 }
 
 func (x *exchange) head(ctx context.Context, s *link.Stream, h *wire.AnswerHead, stopAlive func() bool) error {
-	if !x.mine(h.GetRequestId(), h.GetNumber()) {
+	if !x.isCurrent(h.GetRequestId(), h.GetNumber()) {
 		return ErrAborted
 	}
 	if !stopAlive() && ctx.Err() == nil {
-		s.SetReadDeadline(time.Time{}) // silent until now, but it answers
+		s.SetReadDeadline(time.Time{}) // the agent was unresponsive, but it answers now
 		context.AfterFunc(ctx, func() { s.SetReadDeadline(time.Unix(1, 0)) })
 	}
-	if x.begun {
+	if x.headSent {
 		return nil // resumed
 	}
-	x.begun, x.status = true, int(h.GetStatus())
-	if err := x.sink.Head(int(h.GetStatus()), h.GetHeaders(), x.place); err != nil {
-		return x.callerGone(s, err)
+	x.headSent, x.status = true, int(h.GetStatus())
+	if err := x.sink.Head(int(h.GetStatus()), h.GetHeaders(), x.location); err != nil {
+		return x.cancelForCaller(s, err)
 	}
 	return nil
 }
 
 func (x *exchange) chunk(s *link.Stream, c *wire.AnswerChunk) error {
-	if !x.mine(c.GetRequestId(), c.GetNumber()) || c.GetOffset() != x.offset {
+	if !x.isCurrent(c.GetRequestId(), c.GetNumber()) || c.GetOffset() != x.offset {
 		return ErrAborted
 	}
 	x.offset += int64(len(c.GetData()))
 	if err := x.sink.Data(c.GetData()); err != nil {
-		return x.callerGone(s, err)
+		return x.cancelForCaller(s, err)
 	}
 	return nil
 }
 
-func (x *exchange) callerGone(s *link.Stream, err error) error {
+func (x *exchange) cancelForCaller(s *link.Stream, err error) error {
 	_ = s.SendCall(&wire.Call{Body: &wire.Call_Cancel{Cancel: &wire.Cancel{}}})
 	return eris.Wrapf(ErrCallerGone, "%v", err)
 }
 
-// broken tells why nothing more came: the caller went, its deadline passed, or
-// the link or the agent failed.
-func (x *exchange) broken(ctx context.Context, s *link.Stream) result {
+// interrupted returns the result of an answer that ended early: the caller disconnected, its
+// deadline passed, or the link or the agent failed.
+func (x *exchange) interrupted(ctx context.Context, s *link.Stream) result {
 	if eris.Is(ctx.Err(), context.DeadlineExceeded) {
 		_ = s.SendCall(&wire.Call{Body: &wire.Call_Cancel{Cancel: &wire.Cancel{}}})
 		return result{event: retry.EventNoFate, refusal: contract.Refusal{Reason: contract.ReasonDeadline}}
 	}
 	if ctx.Err() != nil {
-		return result{err: x.callerGone(s, ctx.Err())}
+		return result{err: x.cancelForCaller(s, ctx.Err())}
 	}
-	if x.begun {
+	if x.headSent {
 		return result{event: retry.EventCut}
 	}
 	return result{event: retry.EventLost, refusal: contract.Refusal{Reason: contract.ReasonLinkLost}}
 }
 
 func (x *exchange) refused(w *wire.Refusal) result {
-	if !x.mine(w.GetRequestId(), w.GetNumber()) {
+	if !x.isCurrent(w.GetRequestId(), w.GetNumber()) {
 		return result{err: ErrAborted}
 	}
 	if len(w.GetNewer()) > 0 {
@@ -360,7 +362,7 @@
 		x.closed = x.backend.Close(reason, after, clock.Now())
 	}
 	if end := w.GetEngineEnd(); end > 0 {
-		x.noteEnd(end)
+		x.recordEnd(end)
 	}
 	return result{event: retry.EventRefused, refusal: contract.Refusal{
 		Outcome:    contract.OutcomeFromWire(w.GetOutcome()),
@@ -369,12 +371,12 @@
 	}}
 }
 
-// queryFate asks the agent what became of the attempt. The agent tombstones
-// one that was not handed over.
-func (x *exchange) queryFate(ctx context.Context) result {
+// queryOutcome queries the agent for the outcome of the attempt. The agent creates a tombstone for
+// an attempt that was not handed over to the backend server.
+func (x *exchange) queryOutcome(ctx context.Context) result {
 	query := &wire.FateQuery{
-		RequestId: string(x.place.Attempt.Request), Number: x.place.Attempt.Number,
-		Incarnation: uint64(x.place.Incarnation), DeadlineUnixMs: clock.Wall(x.contract.Deadline).UnixMilli(),
+		RequestId: string(x.location.Attempt.Request), Number: x.location.Attempt.Number,
+		Incarnation: uint64(x.location.Incarnation), DeadlineUnixMs: clock.Wall(x.contract.Deadline).UnixMilli(),
 		SentUnixMs: clock.Wall(x.sent).UnixMilli(),
 	}
 	out := result{event: retry.EventNoFate, refusal: contract.Refusal{Reason: contract.ReasonLinkLost}}
@@ -397,7 +399,7 @@
 	return out
 }
 
-// resume attaches to the attempt again and passes the rest of its answer on.
+// resume reattaches to the attempt and forwards the rest of its answer.
 func (x *exchange) resume(ctx context.Context) result {
 	out := result{event: retry.EventNoFate, refusal: contract.Refusal{Reason: contract.ReasonLinkLost}}
 	x.record(timeline.KindResume, "")
@@ -408,8 +410,8 @@
 		}
 		defer s.Close()
 		call := &wire.Resume{
-			RequestId: string(x.place.Attempt.Request), Number: x.place.Attempt.Number,
-			Incarnation: uint64(x.place.Incarnation), Offset: x.offset,
+			RequestId: string(x.location.Attempt.Request), Number: x.location.Attempt.Number,
+			Incarnation: uint64(x.location.Incarnation), Offset: x.offset,
 		}
 		if s.SendCall(&wire.Call{Body: &wire.Call_Resume{Resume: call}}) != nil {
 			return false
@@ -423,20 +425,20 @@
 	return out
 }
 
-// tryUntil calls f with a link to the attempt's agent until it returns true or
-// the time for that is over. Another incarnation of the agent ends it too.
+// tryUntil calls f with a link to the attempt's agent until f returns true or outcomeTimeout has
+// passed. It also ends if another incarnation of the agent answers.
 func (x *exchange) tryUntil(ctx context.Context, f func(context.Context, *link.Link) bool) {
-	limited, cancel := context.WithTimeout(ctx, fateTimeout)
+	limited, cancel := context.WithTimeout(ctx, outcomeTimeout)
 	defer cancel()
 	for limited.Err() == nil {
 		l, err := x.d.directory.Link(limited, x.backend)
-		if err == nil && l.Incarnation != x.place.Incarnation {
+		if err == nil && l.Incarnation != x.location.Incarnation {
 			return
 		}
 		if err == nil && f(limited, l) {
 			return
 		}
-		timer := time.NewTimer(fateInterval)
+		timer := time.NewTimer(outcomeInterval)
 		select {
 		case <-limited.Done():
 		case <-timer.C:
--- a/entry/dispatch/quarantine.go
+++ b/entry/dispatch/quarantine.go
@@ -16,10 +16,11 @@
 	"baywall.example/entry/retry"
 )
 
-// trialPoll is how often a request looks whether it may be tried while an equal one is.
-const trialPoll = 15 * time.Millisecond
+// trialPollInterval is how often a request checks whether it may be tried while an equal one is being
+// tried.
+const trialPollInterval = 15 * time.Millisecond
 
-// fingerprint returns what equal requests have in common.
+// fingerprint returns the fingerprint of the request, which equal requests share.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
 	if x.digest == nil {
 		f := quarantine.Identity{
@@ -30,13 +31,14 @@
 	return *x.digest
 }
 
-// serverKey identifies the engine of the present agent up to its end with that number.
+// serverKey identifies the engine behind the current agent up to its end with the given number;
+// 0 stands for an engine that has not ended.
 func (x *exchange) serverKey(end uint64) quarantine.ServerKey {
-	return quarantine.ServerKey(xxhash.Sum64String(fmt.Sprintf("%s/%d/%d", x.place.VM, x.place.Incarnation, end)))
+	return quarantine.ServerKey(xxhash.Sum64String(fmt.Sprintf("%s/%d/%d", x.location.VM, x.location.Incarnation, end)))
 }
 
-// admitted waits until the request may be tried, and reports whether it may.
-func (x *exchange) admitted(ctx context.Context) bool {
+// waitAdmitted waits until the request may be tried, and reports whether it may.
+func (x *exchange) waitAdmitted(ctx context.Context) bool {
 	x.suspect = quarantine.Attempt{Round: 1}
 	if x.d.suspects.Empty() {
 		return true
@@ -44,7 +46,7 @@
 	for {
 		attempt, permission := x.d.suspects.Admit(x.fingerprint(), clock.Now())
 		x.suspect = attempt
-		if permission == quarantine.Refused || permission == quarantine.Wait && !wait.Sleep(ctx, trialPoll) {
+		if permission == quarantine.Refused || permission == quarantine.Wait && !wait.Sleep(ctx, trialPollInterval) {
 			return false
 		}
 		if permission == quarantine.Granted {
@@ -53,21 +55,21 @@
 	}
 }
 
-// settleQuarantined refuses the request. Nobody knows here whether one with a ticket was
-// presented before.
-func (x *exchange) settleQuarantined() error {
+// refuseQuarantined refuses a quarantined request. For a request with a ticket the outcome is
+// unknown, because the ticket may have been presented before.
+func (x *exchange) refuseQuarantined() error {
 	judgement := x.d.suspects.Judge(x.fingerprint(), clock.Now())
 	x.d.recorder.Record(timeline.Event{
 		Kind: timeline.KindRefused, Request: string(x.contract.Request), Choice: judgement.Standing.String(),
 		Reason: fmt.Sprintf("%d backend servers ended under equal requests, the latest %s ago", judgement.Ends, judgement.Since.Round(time.Millisecond)),
 	})
-	x.sequence.Deadline = time.Time{} // nothing left to retry
+	x.sequence.Deadline = time.Time{} // prevents a retry
 	refusal := contract.Refusal{Outcome: contract.NotRun, Reason: contract.ReasonQuarantined, RetryAfter: judgement.Left}
 	event := retry.EventRefused
 	if x.contract.Ticket != nil {
 		event = retry.EventNoFate
 	}
-	if x.begun {
+	if x.headSent {
 		return ErrAborted
 	}
 	decision := x.sequence.Next(event, refusal, clock.Now())
@@ -75,13 +77,13 @@
 	return &decision.Refusal
 }
 
-// noteEnd notes that the agent's engine ended under the present attempt.
-func (x *exchange) noteEnd(end uint64) {
+// recordEnd records that the agent's engine ended while it was running the current attempt.
+func (x *exchange) recordEnd(end uint64) {
 	x.d.suspects.Ended(x.fingerprint(), quarantine.End{Server: x.serverKey(end), Round: x.suspect.Round, At: clock.Now()})
 }
 
-// noteSuccess notes that the request ended well.
-func (x *exchange) noteSuccess(err error) {
+// recordSuccess records that the request succeeded, if err is nil.
+func (x *exchange) recordSuccess(err error) {
 	if err == nil && x.status < http.StatusMultipleChoices && !x.d.suspects.Empty() {
 		x.d.suspects.Succeeded(x.fingerprint(), clock.Now())
 	}
