--- a/entry/dispatch/dispatch.go
+++ b/entry/dispatch/dispatch.go
@@ -135,9 +135,9 @@
 	return b
 }
 
-// Serve executes the request and streams its answer to the sink. It returns nil if the complete
-// answer was forwarded, a *contract.Refusal if nothing was, and ErrAborted or ErrCallerGone
-// otherwise.
+// Serve executes the request and streams its answer to the sink. It returns nil if the
+// complete answer was forwarded, a *contract.Refusal if nothing was, and ErrAborted or
+// ErrCallerGone otherwise.
 func (d *Dispatcher) Serve(ctx context.Context, c contract.Contract, r Request, sink Sink) error {
 	budget := d.budget(c.Service)
 	budget.Earn()
@@ -167,9 +167,9 @@
 	return x.resolve(ctx, result{event: retry.EventHeld})
 }
 
-// Pick chooses up to n distinct backend servers of a service for tickets. The incarnations of
-// their agents are known afterwards: Pick establishes missing links, for instance on an entry VM
-// outside of the service's subset.
+// Pick chooses up to n distinct backend servers of a service for tickets. The incarnations
+// of their agents are known afterwards: Pick establishes missing links, for instance on an
+// entry VM outside of the service's subset.
 func (d *Dispatcher) Pick(ctx context.Context, service string, n int) []*backend.Backend {
 	choice := d.directory.Usable(service)
 	var out []*backend.Backend
@@ -184,8 +184,8 @@
 	return out
 }
 
-// ensureLinked establishes a link to the server's agent unless its incarnation is known already, and
-// reports whether the incarnation is known.
+// ensureLinked establishes a link to the server's agent unless its incarnation is known
+// already, and reports whether the incarnation is known.
 func (d *Dispatcher) ensureLinked(ctx context.Context, b *backend.Backend) bool {
 	if b.Incarnation() != 0 {
 		return true
--- a/entry/dispatch/exchange.go
+++ b/entry/dispatch/exchange.go
@@ -19,8 +19,9 @@
 )
 
 const (
-	// outcomeTimeout bounds the time for which an agent is queried for the outcome of an attempt
-	// before the caller gets "unknown", and for which resuming an interrupted answer is tried.
+	// outcomeTimeout bounds the time for which an agent is queried for the outcome of an
+	// attempt before the caller gets "unknown", and for which resuming an interrupted
+	// answer is tried.
 	outcomeTimeout = 1500 * time.Millisecond
 	// outcomeInterval is the time between two such tries.
 	outcomeInterval = 50 * time.Millisecond
@@ -80,8 +81,8 @@
 // errRetry makes run start another attempt.
 var errRetry = eris.New("dispatch: retry")
 
-// resolve carries out the decisions that follow a result until the request has ended or another
-// attempt is due.
+// resolve carries out the decisions that follow a result until the request has ended or
+// another attempt is due.
 func (x *exchange) resolve(ctx context.Context, r result) error {
 	for {
 		if r.done {
@@ -371,8 +372,8 @@
 	}}
 }
 
-// queryOutcome queries the agent for the outcome of the attempt. The agent creates a tombstone for
-// an attempt that was not handed over to the backend server.
+// queryOutcome queries the agent for the outcome of the attempt. The agent creates a
+// tombstone for an attempt that was not handed over to the backend server.
 func (x *exchange) queryOutcome(ctx context.Context) result {
 	query := &wire.FateQuery{
 		RequestId: string(x.location.Attempt.Request), Number: x.location.Attempt.Number,
@@ -425,8 +426,8 @@
 	return out
 }
 
-// tryUntil calls f with a link to the attempt's agent until f returns true or outcomeTimeout has
-// passed. It also ends if another incarnation of the agent answers.
+// tryUntil calls f with a link to the attempt's agent until f returns true or
+// outcomeTimeout has passed. It also ends if another incarnation of the agent answers.
 func (x *exchange) tryUntil(ctx context.Context, f func(context.Context, *link.Link) bool) {
 	limited, cancel := context.WithTimeout(ctx, outcomeTimeout)
 	defer cancel()
--- a/entry/dispatch/policy_test.go
+++ b/entry/dispatch/policy_test.go
@@ -25,8 +25,8 @@
 	return configuration.Record{Key: resource.Key{Kind: kind, Name: name}, Revision: 1, Spec: raw}
 }
 
-// Requests without a prompt prefix all have the same key, so affinity would send all requests of
-// a plain service to one runner.
+// Requests without a prompt prefix all have the same key, so affinity would send all
+// requests of a plain service to one runner.
 func TestPolicyOfAService(t *testing.T) {
 	is := is.New(t)
 	store := configuration.NewStore(false)
--- a/entry/dispatch/quarantine.go
+++ b/entry/dispatch/quarantine.go
@@ -16,8 +16,8 @@
 	"baywall.example/entry/retry"
 )
 
-// trialPollInterval is how often a request checks whether it may be tried while an equal one is being
-// tried.
+// trialPollInterval is how often a request checks whether it may be tried while an equal
+// one is being tried.
 const trialPollInterval = 15 * time.Millisecond
 
 // fingerprint returns the fingerprint of the request, which equal requests share.
@@ -31,8 +31,8 @@
 	return *x.digest
 }
 
-// serverKey identifies the engine behind the current agent up to its end with the given number;
-// 0 stands for an engine that has not ended.
+// serverKey identifies the engine behind the current agent up to its end with the given
+// number; 0 stands for an engine that has not ended.
 func (x *exchange) serverKey(end uint64) quarantine.ServerKey {
 	return quarantine.ServerKey(xxhash.Sum64String(fmt.Sprintf("%s/%d/%d", x.location.VM, x.location.Incarnation, end)))
 }
--- a/entry/follow/election.go
+++ b/entry/follow/election.go
@@ -11,59 +11,63 @@
 )
 
 const (
-	// watchersPerZone is how many gateways of an availability zone follow the
-	// store, as each call has its price and the store's rate is shared; the others
-	// take what these hear.
+	// watchersPerZone is how many gateways of an availability zone follow the store. The
+	// others take the changes from these, because each call to the store is charged and the
+	// rate of calls is shared.
 	watchersPerZone = 1
-	// smallFleet is up to how many gateways all of them follow the store: it can
-	// bear their calls, and no change takes a second way. smallLeaders of them follow it for
-	// the others, too.
+	// smallFleet is the largest number of gateways with which all of them follow the store:
+	// the store can handle their calls, and no change needs a second hop. smallLeaders of
+	// them also follow it on behalf of the others.
 	smallFleet, smallLeaders = 12, 2
-	// shortestMeeting and longestMeeting bound the random time for which a gateway that
-	// has just started waits to meet one that knows the state of the store already: when
-	// a fleet of 150 starts, some of them list the backend servers in place of all.
-	shortestMeeting, longestMeeting = 80 * time.Millisecond, 280 * time.Millisecond
-	// askedAfter is when a gateway that has not got the state from another one asks the
-	// store itself.
-	askedAfter = 1500 * time.Millisecond
-	// bootstrapMeeting and bootstrapAskedAfter are the longest meeting and askedAfter of a
-	// fleet that starts for the first time: no caller waits yet, and all have to meet before
-	// they know which of them list the state for the others.
-	bootstrapMeeting, bootstrapAskedAfter = 1200 * time.Millisecond, 3 * time.Second
+	// minDiscovery and maxDiscovery bound the random time for which a gateway that
+	// has just started waits to discover one that already knows the state of the store. So
+	// when a fleet of 150 starts, only some of the gateways list the backend servers.
+	minDiscovery, maxDiscovery = 80 * time.Millisecond, 280 * time.Millisecond
+	// fallbackAfter is when a gateway that has not received the state from another one queries
+	// the store itself.
+	fallbackAfter = 1500 * time.Millisecond
+	// bootstrapDiscovery and bootstrapFallbackAfter replace maxDiscovery and fallbackAfter
+	// in a fleet that starts for the first time: no caller is waiting yet, and all gateways
+	// have to discover each other before they know which of them list the state for the
+	// others.
+	bootstrapDiscovery, bootstrapFallbackAfter = 1200 * time.Millisecond, 3 * time.Second
 )
 
-// watcherKey is what the order of those who follow the store is drawn for.
+// watcherKey is the rendezvous key for the order in which gateways are chosen to follow the
+// store.
 const watcherKey = "store-watch"
 
-// Election decides whether a gateway follows the store itself or leaves it to others. It does no
-// input or output.
+// Election decides whether a gateway follows the store itself or relies on others to do so. It
+// does no input or output.
 type Election struct {
-	vm, zone string
-	within   time.Duration // in which a change has to be in force
-	meets    bool          // there are others to look for at first
-	began    time.Time
-	meeting  time.Duration // for which they are looked for
-	asks     time.Duration // askedAfter
+	vm, zone  string
+	within    time.Duration // time within which a change has to be in force
+	hasPeers  bool          // whether there are other gateways to discover at the start
+	started   time.Time
+	discovery time.Duration // how long to wait for them
+	fallback  time.Duration // fallbackAfter or its value for a bootstrap
 }
 
-// NewElection returns the election of a gateway of a fleet in which a change has to be in force
-// within a time. It meets others, or is alone; with bootstrap the fleet starts for the first time.
-func NewElection(vm, zone string, within time.Duration, meets, bootstrap bool, now time.Time) *Election {
+// NewElection returns the election of a gateway in a fleet in which a change has to be in
+// force within the given time. The argument hasPeers tells whether there are other gateways
+// to discover, and bootstrap whether the fleet starts for the first time.
+func NewElection(vm, zone string, within time.Duration, hasPeers, bootstrap bool, now time.Time) *Election {
 	e := &Election{
-		vm: vm, zone: zone, within: within, meets: meets, began: now,
-		meeting: shortestMeeting + rand.N(longestMeeting-shortestMeeting), asks: askedAfter,
+		vm: vm, zone: zone, within: within, hasPeers: hasPeers, started: now,
+		discovery: minDiscovery + rand.N(maxDiscovery-minDiscovery), fallback: fallbackAfter,
 	}
 	if bootstrap {
-		e.meeting, e.asks = bootstrapMeeting-rand.N(longestMeeting), bootstrapAskedAfter
+		e.discovery, e.fallback = bootstrapDiscovery-rand.N(maxDiscovery), bootstrapFallbackAfter
 	}
 	return e
 }
 
-// Decide returns the gateway's part. Heartbeats tell who hears the store.
+// Decide returns the gateway's role. Heartbeats report which gateways are in contact with the
+// store.
 func (e *Election) Decide(live []cluster.Peer, own Standing, now time.Time) source.Duty {
-	age := now.Sub(e.began)
+	age := now.Sub(e.started)
 	small := len(live)+1 <= smallFleet
-	var order watchable
+	var order candidates
 	order.add(e.vm, own.Active, own.Failing)
 	fresh := false
 	for _, p := range live {
@@ -72,26 +76,26 @@
 			order.add(string(p.VM), p.Active, p.StoreFailing)
 		}
 	}
-	most := watchersPerZone
+	limit := watchersPerZone
 	if small {
-		most = smallLeaders
+		limit = smallLeaders
 	}
 	switch {
-	case !own.Listed && e.meets && age < e.meeting:
+	case !own.Listed && e.hasPeers && age < e.discovery:
 		return source.DutyRest
-	case slices.Contains(order.first(most), e.vm):
+	case slices.Contains(order.first(limit), e.vm):
 		return source.DutyLead
 	case small:
 		return source.DutyFollow
-	case fresh && (own.Listed || age <= e.asks):
+	case fresh && (own.Listed || age <= e.fallback):
 		return source.DutyRest
 	default:
 		return source.DutyStandIn
 	}
 }
 
-// Followers returns how many gateways of a fleet follow the store, the one of the zone
-// that sees the others included.
+// Followers returns how many gateways follow the store: among the live ones and this gateway,
+// which is in the given zone.
 func Followers(zone string, live []cluster.Peer) int {
 	if len(live) < smallFleet {
 		return len(live) + 1
@@ -107,10 +111,10 @@
 	return sum
 }
 
-// watchable are the ids of gateways that may follow the store for others.
-type watchable struct{ active, standby, failing []string }
+// candidates holds the IDs of gateways that may follow the store on behalf of others.
+type candidates struct{ active, standby, failing []string }
 
-func (w *watchable) add(id string, active, failing bool) {
+func (w *candidates) add(id string, active, failing bool) {
 	switch {
 	case failing:
 		w.failing = append(w.failing, id)
@@ -121,12 +125,12 @@
 	}
 }
 
-// first returns those that follow the store: active ones first, as the others hear these
-// most often, and those that the store does not answer last.
-func (w *watchable) first(most int) []string {
+// first returns the gateways that follow the store. Active ones come first, because the others
+// receive their heartbeats most often, and those that the store does not answer come last.
+func (w *candidates) first(limit int) []string {
 	var order []string
 	for _, ids := range [][]string{w.active, w.standby, w.failing} {
 		order = append(order, rendezvous.Order(ids, watcherKey, func(id string) string { return id })...)
 	}
-	return order[:min(len(order), most)]
+	return order[:min(len(order), limit)]
 }
--- a/entry/follow/election_test.go
+++ b/entry/follow/election_test.go
@@ -7,13 +7,13 @@
 	"github.com/matryer/is"
 )
 
-// All gateways of a zone agree on who follows the store, and when one goes, one
-// takes its place.
+// All gateways of a zone agree on which of them follow the store. When one of these leaves,
+// another one replaces it.
 func TestWatchersOfAZone(t *testing.T) {
 	is := is.New(t)
 	zone := []string{"a", "b", "c", "d", "e"}
 	watchers := func(standby []string, active ...string) []string {
-		w := watchable{active: active, standby: standby}
+		w := candidates{active: active, standby: standby}
 		return w.first(watchersPerZone)
 	}
 	first := watchers(zone)
@@ -32,12 +32,12 @@
 		next := watchers(without(id))
 		is.Equal(len(next), watchersPerZone)
 		if !slices.Contains(first, id) {
-			is.Equal(next, first) // who does not follow changes nothing
+			is.Equal(next, first) // a gateway that does not follow makes no difference
 			continue
 		}
-		is.True(!slices.Contains(next, id)) // another takes its place
+		is.True(!slices.Contains(next, id)) // another one replaces it
 	}
 	is.Equal(watchers([]string{"a"}), []string{"a"})
-	is.Equal(watchers([]string{"a", "b", "c", "e"}, "d")[0], "d") // one that the others hear often comes first
+	is.Equal(watchers([]string{"a", "b", "c", "e"}, "d")[0], "d") // an active one comes first
 	is.Equal(watchers(nil, zone...), first)
 }
--- a/entry/follow/exchange.go
+++ b/entry/follow/exchange.go
@@ -10,75 +10,76 @@
 )
 
 const (
-	// LookInterval is how often a gateway looks whether others know more, RestLook how often
-	// one does that does not follow the store itself.
+	// LookInterval is how often a gateway checks whether others know newer changes. RestLook
+	// is how often a gateway that does not follow the store itself checks.
 	LookInterval = 200 * time.Millisecond
 	RestLook     = 100 * time.Millisecond
-	// PullTimeout bounds the exchange with another gateway.
+	// PullTimeout bounds a call to another gateway.
 	PullTimeout = 2 * time.Second
 )
 
 const (
-	// nudgeAfter and pullAfter are how many looks in a row, at intervals of LookInterval,
-	// find that others know of a newer change before the store is asked again, and before
-	// one of them is asked.
+	// nudgeAfter and pullAfter are the numbers of consecutive checks, at intervals of
+	// LookInterval, that have to find a newer change at other gateways before the store is
+	// queried again, and before the state of one of them is pulled.
 	nudgeAfter = 1
 	pullAfter  = 2
-	// hedgeAfter is how long another gateway may take to answer before a second one is
-	// asked, mostPulls how many are asked at a time: the first may be frozen or cut off, and
-	// nobody has missed its heartbeats yet.
+	// hedgeAfter is how long a pull may take before another gateway is asked as well, and
+	// maxPulls how many pulls may be in progress: the first gateway may be frozen or cut off
+	// without its missing heartbeats having been noticed yet.
 	hedgeAfter = 250 * time.Millisecond
-	mostPulls  = 3
-	// askAgain is when what a gateway said that it knows better than the store is asked for
-	// once more.
-	askAgain = time.Second
-	// pullPart is the part of the time within which a change has to be in force that passes
-	// between two pulls at least: changes in quick succession then come together.
-	pullPart = 0.1
+	maxPulls   = 3
+	// repeatPullAfter is the least time between two pulls of the same state that is ahead
+	// of the store.
+	repeatPullAfter = time.Second
+	// pullGapFraction determines the least time between two pulls, as a fraction of the
+	// time within which a change has to be in force: changes in quick succession are then
+	// pulled together.
+	pullGapFraction = 0.1
 )
 
-// Standing is what a gateway knows, as it and others tell it.
+// Standing is the state of a gateway with regard to the store.
 type Standing struct {
 	Changed  source.Position // newest change
 	Catalog  uint64          // version in force
-	Retained uint64          // digest of what it knows better than the store
-	Listed   bool            // it knows a state at all
+	Retained uint64          // digest of the entries in which it is ahead of the store
+	Listed   bool            // it knows a state of the store
 	Resting  bool            // it does not follow the store itself
-	Active   bool            // callers are told of it
+	Active   bool            // it is announced to callers
 	Failing  bool            // the store does not answer it
 }
 
-// better is what a gateway knows better than the store.
-type better struct{ retained, catalog uint64 }
+// aheadState identifies the state in which a gateway is ahead of the store.
+type aheadState struct{ retained, catalog uint64 }
 
-// Step is what follows from a look at the other gateways.
+// Step is the outcome of a check.
 type Step struct {
-	Nudge source.Position // the store is asked for this change; zero = it is not
-	Pull  *cluster.Peer   // that is asked for its state, nil = none
+	Nudge source.Position // change for which the store is queried; zero for none
+	Pull  *cluster.Peer   // gateway whose state is pulled; nil for none
 }
 
-// Exchange decides when a gateway asks the store again, and whom it asks in its place. It is
-// not safe for concurrent use.
+// Exchange decides when a gateway queries the store again, and whose state it pulls
+// instead. It is not safe for concurrent use.
 type Exchange struct {
-	zone    string        // of this gateway
-	gap     time.Duration // between two pulls
-	behind  int           // looks in a row that found a newer change
-	pulled  time.Time     // when the latest pull began
-	pulling map[vm.ID]time.Time
-	asked   map[better]time.Time
+	zone        string        // of this gateway
+	gap         time.Duration // least time between two pulls
+	behind      int           // consecutive checks that found a newer change
+	pulled      time.Time     // when the latest pull started
+	pulling     map[vm.ID]time.Time
+	pulledAhead map[aheadState]time.Time // when a state that is ahead of the store was last pulled
 }
 
-// NewExchange returns the exchange of a gateway in an availability zone; a change has to be in force
-// within a time.
+// NewExchange returns the exchange of a gateway in an availability zone, in a fleet in which a
+// change has to be in force within the given time.
 func NewExchange(zone string, within time.Duration) *Exchange {
 	return &Exchange{
 		zone:    zone,
-		gap:     time.Duration(pullPart * float64(within)),
-		pulling: make(map[vm.ID]time.Time), asked: make(map[better]time.Time),
+		gap:     time.Duration(pullGapFraction * float64(within)),
+		pulling: make(map[vm.ID]time.Time), pulledAhead: make(map[aheadState]time.Time),
 	}
 }
 
-// Look compares what others know with what this gateway knows.
+// Look compares the states that other gateways report with the state of this one.
 func (x *Exchange) Look(own Standing, live []cluster.Peer, now time.Time) Step {
 	var out Step
 	newest := own.Changed
@@ -89,10 +90,10 @@
 	}
 	if newest == own.Changed {
 		x.behind = 0
-		out.Pull = x.pullIf(live, now, func(p *cluster.Peer) bool { return x.knowsBetter(own, p, now) })
+		out.Pull = x.pullIf(live, now, func(p *cluster.Peer) bool { return x.isAhead(own, p, now) })
 		if out.Pull != nil {
-			maps.DeleteFunc(x.asked, func(_ better, at time.Time) bool { return now.Sub(at) >= askAgain })
-			x.asked[better{out.Pull.Retained, out.Pull.CatalogVersion}] = now
+			maps.DeleteFunc(x.pulledAhead, func(_ aheadState, at time.Time) bool { return now.Sub(at) >= repeatPullAfter })
+			x.pulledAhead[aheadState{out.Pull.Retained, out.Pull.CatalogVersion}] = now
 		}
 		return out
 	}
@@ -106,17 +107,18 @@
 	return out
 }
 
-// knowsBetter reports whether a gateway knows something better than the store that this one
-// does not, and has not been asked for it lately.
-func (x *Exchange) knowsBetter(own Standing, p *cluster.Peer, now time.Time) bool {
-	b := better{p.Retained, p.CatalogVersion}
+// isAhead reports whether a gateway is ahead of the store in a state that this one does not
+// have and has not pulled recently.
+func (x *Exchange) isAhead(own Standing, p *cluster.Peer, now time.Time) bool {
+	b := aheadState{p.Retained, p.CatalogVersion}
 	differs := b.retained != 0 && b.retained != own.Retained || b.catalog > own.Catalog
-	return differs && now.Sub(x.asked[b]) >= askAgain
+	return differs && now.Sub(x.pulledAhead[b]) >= repeatPullAfter
 }
 
-// pullIf returns the gateway to ask among those that fit: of the same availability zone if
-// there is one, as states are most of the bytes between zones, and of these the one heard last,
-// which most likely answers.
+// pullIf returns the gateway to pull from among those that fit. It prefers gateways of the
+// same availability zone, because states are most of the traffic between zones, and among
+// these the one whose heartbeat is the most recent, because it is the most likely to
+// answer.
 func (x *Exchange) pullIf(live []cluster.Peer, now time.Time, fits func(*cluster.Peer) bool) *cluster.Peer {
 	if !x.mayPull(now) {
 		return nil
@@ -127,7 +129,7 @@
 		if _, under := x.pulling[p.VM]; under || p.Front == "" || !fits(p) {
 			continue
 		}
-		if best == nil || x.isBetter(p, best) {
+		if best == nil || x.isPreferred(p, best) {
 			best = p
 		}
 	}
@@ -138,16 +140,18 @@
 	return best
 }
 
-func (x *Exchange) isBetter(p, than *cluster.Peer) bool {
+// isPreferred reports whether a pull from p is preferable to one from another gateway.
+func (x *Exchange) isPreferred(p, than *cluster.Peer) bool {
 	if near := p.Zone == x.zone; near != (than.Zone == x.zone) {
 		return near
 	}
 	return p.Heard.After(than.Heard)
 }
 
-// mayPull reports whether another pull may begin: one at a time, unless it takes long.
+// mayPull reports whether another pull may start. Only one may be in progress, unless it takes
+// longer than hedgeAfter.
 func (x *Exchange) mayPull(now time.Time) bool {
-	if len(x.pulling) >= mostPulls {
+	if len(x.pulling) >= maxPulls {
 		return false
 	}
 	if len(x.pulling) > 0 {
@@ -156,5 +160,5 @@
 	return now.Sub(x.pulled) >= x.gap
 }
 
-// Ended notes that a pull is over.
+// Ended records that a pull has ended.
 func (x *Exchange) Ended(from vm.ID) { delete(x.pulling, from) }
--- a/entry/follow/exchange_test.go
+++ b/entry/follow/exchange_test.go
@@ -11,13 +11,13 @@
 	"baywall.example/core/vm"
 )
 
-func peerAt(id string, era, revision uint64, heard time.Time) cluster.Peer {
-	return cluster.Peer{VM: vm.ID(id), Front: "f", StoreChanged: source.Position{Era: era, Revision: revision}, Heard: heard}
+func peerAt(id string, term, revision uint64, heard time.Time) cluster.Peer {
+	return cluster.Peer{VM: vm.ID(id), Front: "f", StoreChanged: source.Position{Era: term, Revision: revision}, Heard: heard}
 }
 
-// The gateway that has not noticed the store's return knows the highest revision, and was
-// asked for it: what it offered was the state from before.
-func TestALaterEraIsNewerThanAHigherRevision(t *testing.T) {
+// After the store was restored, a gateway that has not noticed it may know the highest
+// revision. Pulling from it would bring the state from before the restore.
+func TestLaterTermIsNewerThanHigherRevision(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	x := NewExchange("z", 2*time.Second)
@@ -33,8 +33,9 @@
 	is.True(s.Pull == nil)
 }
 
-// A gateway that was asked and is frozen held all others up for two seconds.
-func TestAPullThatTakesLongIsHedged(t *testing.T) {
+// Without hedging, a pull from a frozen gateway delays all others by the timeout of two
+// seconds.
+func TestSlowPullIsHedged(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	x := NewExchange("z", 2*time.Second)
@@ -44,29 +45,31 @@
 	is.True(x.Look(own, live, now.Add(hedgeAfter/2)).Pull == nil)
 	is.Equal(x.Look(own, live, now.Add(hedgeAfter)).Pull.VM, vm.ID("b"))
 	is.Equal(x.Look(own, live, now.Add(2*hedgeAfter)).Pull.VM, vm.ID("c"))
-	is.True(x.Look(own, live, now.Add(3*hedgeAfter)).Pull == nil) // enough are asked
+	is.True(x.Look(own, live, now.Add(3*hedgeAfter)).Pull == nil) // the maximum number of pulls is in progress
 }
 
-// What others know better than the store is asked for once a while, not at each look.
-func TestWhatOthersKnowBetterIsAskedFor(t *testing.T) {
+// A state in which another gateway is ahead of the store is pulled at intervals of
+// repeatPullAfter, not at each check.
+func TestStateAheadOfStoreIsPulled(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	x := NewExchange("z", 2*time.Second)
 	own := Standing{Changed: source.Position{Era: 2, Revision: 9}, Catalog: 4, Listed: true}
-	knows := peerAt("knows", 2, 9, now)
-	knows.CatalogVersion, knows.Retained = 5, 77
-	s := x.Look(own, []cluster.Peer{knows}, now)
-	is.Equal(s.Pull.VM, vm.ID("knows"))
-	x.Ended("knows")
-	is.True(x.Look(own, []cluster.Peer{knows}, now.Add(askAgain/2)).Pull == nil)
-	is.True(x.Look(own, []cluster.Peer{knows}, now.Add(askAgain)).Pull != nil)
-	x.Ended("knows")
+	ahead := peerAt("ahead", 2, 9, now)
+	ahead.CatalogVersion, ahead.Retained = 5, 77
+	s := x.Look(own, []cluster.Peer{ahead}, now)
+	is.Equal(s.Pull.VM, vm.ID("ahead"))
+	x.Ended("ahead")
+	is.True(x.Look(own, []cluster.Peer{ahead}, now.Add(repeatPullAfter/2)).Pull == nil)
+	is.True(x.Look(own, []cluster.Peer{ahead}, now.Add(repeatPullAfter)).Pull != nil)
+	x.Ended("ahead")
 	own.Catalog, own.Retained = 5, 77
-	is.True(x.Look(own, []cluster.Peer{knows}, now.Add(3*askAgain)).Pull == nil)
+	is.True(x.Look(own, []cluster.Peer{ahead}, now.Add(3*repeatPullAfter)).Pull == nil)
 }
 
-// States are most of the bytes between zones.
-func TestAGatewayOfTheSameZoneIsAskedFirst(t *testing.T) {
+// States are most of the traffic between zones, so they are pulled within the zone if
+// possible.
+func TestPullPrefersGatewayOfSameZone(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	x := NewExchange("z", 2*time.Second)
--- a/entry/follow/spread_test.go
+++ b/entry/follow/spread_test.go
@@ -14,17 +14,19 @@
 	"baywall.example/core/wait"
 )
 
-// How long a change takes from the store's acknowledgement to the last gateway, as the sum
-// of all waits on its way: the product's own followers, duties, exchanges and tables of
-// members run in simulated time, without sockets, against a store and a network that fail in
-// each way that the platform may. A search over seeds looks for the worst sum.
+// The tests in this file measure the time from the store's acknowledgement of a change
+// until the last gateway has it. The product's own followers, elections, exchanges and
+// membership tables run in simulated time, without sockets, against a store and a network
+// that fail in each way in which the platform may fail. A search over seeds looks for the
+// longest time.
 
-// margin is the part of the bound that the worst sum leaves.
+// margin is the fraction of the bound that the longest time must leave.
 const margin = 0.1
 
 const watchedKey = "key-0"
 
-// change makes the change that is waited for, and a series of others around it.
+// change makes the awaited change, with series after several others, and returns the time
+// of its acknowledgement.
 func (f *simFleet) change(ctx context.Context, series bool) time.Time {
 	if series {
 		for range 3 {
@@ -34,7 +36,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked = f.store.put(watchedKey)
+	f.awaited = f.store.put(watchedKey)
 	return clock.Now()
 }
 
@@ -44,53 +46,57 @@
 	do()
 }
 
-// share returns some of the gateways; with leaders, those that follow the store for others
-// come first.
-func (f *simFleet) share(part float64, leaders bool, rnd *rand.Rand) []*simGateway {
+// pick returns the given fraction of the gateways, at random. With leaders, those that follow
+// the store on behalf of others come first.
+func (f *simFleet) pick(part float64, leaders bool, rnd *rand.Rand) []*simGateway {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	order := rnd.Perm(len(f.gateways))
-	var out, rest []*simGateway
+	var out, others []*simGateway
 	for _, i := range order {
 		if g := f.gateways[i]; leaders && g.leads {
 			out = append(out, g)
 		} else {
-			rest = append(rest, g)
+			others = append(others, g)
 		}
 	}
-	return append(out, rest...)[:max(1, int(part*float64(len(order))))]
+	return append(out, others...)[:max(1, int(part*float64(len(order))))]
 }
 
-// fault is one way in which the platform fails; it makes the change that is waited for and
-// returns when that was acknowledged.
+// fault is one way in which the platform fails. Its function injects the fault, makes the
+// awaited change and returns when the change was acknowledged.
 type fault struct {
 	name string
-	play func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time
+	run  func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time
 }
 
-func drawn(ctx context.Context, rnd *rand.Rand, most time.Duration) {
+// sleepRandom sleeps for a random time below the given one.
+func sleepRandom(ctx context.Context, rnd *rand.Rand, most time.Duration) {
 	wait.Sleep(ctx, time.Duration(rnd.Int64N(int64(most))))
 }
 
-// of plays a fault of the store's reach for a share of the gateways.
-func ofReach(r reach, leaders, series bool) func(context.Context, *simFleet, *rand.Rand) time.Time {
+// accessFault returns a fault in which a part of the gateways has the given access to the
+// store.
+func accessFault(r access, leaders, series bool) func(context.Context, *simFleet, *rand.Rand) time.Time {
 	return func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time {
-		for _, g := range f.share(0.35, leaders, rnd) {
-			set(f, &g.reach, r)
+		for _, g := range f.pick(0.35, leaders, rnd) {
+			set(f, &g.access, r)
 		}
-		drawn(ctx, rnd, 2*f.within)
+		sleepRandom(ctx, rnd, 2*f.within)
 		return f.change(ctx, series)
 	}
 }
 
-// deafness plays a second in which watches hear nothing.
-func deafness(mute, drops bool, more func(*simFleet, *rand.Rand)) func(context.Context, *simFleet, *rand.Rand) time.Time {
+// stalledWatches returns a fault in which waiting watches get no events, and with
+// stalledNew new ones do not either. With drops, the store loses its history and cuts the
+// watches after a second. If more is not nil, it injects another fault first.
+func stalledWatches(stalledNew, drops bool, more func(*simFleet, *rand.Rand)) func(context.Context, *simFleet, *rand.Rand) time.Time {
 	return func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time {
 		if more != nil {
 			more(f, rnd)
-			drawn(ctx, rnd, time.Second)
+			sleepRandom(ctx, rnd, time.Second)
 		}
-		f.locked(func() { f.store.deaf, f.store.mute = true, mute })
+		f.locked(func() { f.store.stalled, f.store.stalledNew = true, stalledNew })
 		changed := f.change(ctx, false)
 		if drops {
 			time.AfterFunc(time.Second, func() { f.locked(f.store.drop) })
@@ -102,76 +108,76 @@
 var faults = []fault{
 	{"none", func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time { return f.change(ctx, false) }},
 	{"changes in a row", func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time { return f.change(ctx, true) }},
-	{"waiting watches deaf", deafness(false, false, nil)},
-	{"all watches deaf for a second, history dropped", deafness(true, true, nil)},
-	{"store refuses a share", ofReach(isRefused, true, false)},
-	{"store silent for a share", ofReach(isSilent, true, false)},
-	{"store silent for a share, changes in a row", ofReach(isSilent, true, true)},
-	{"those that others rest on frozen", func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time {
-		for _, g := range f.share(0.15, true, rnd) {
+	{"waiting watches stalled", stalledWatches(false, false, nil)},
+	{"all watches stalled for a second, history dropped", stalledWatches(true, true, nil)},
+	{"store refuses some", accessFault(accessRefused, true, false)},
+	{"store unresponsive for some", accessFault(accessTimesOut, true, false)},
+	{"store unresponsive for some, changes in a row", accessFault(accessTimesOut, true, true)},
+	{"leaders frozen", func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time {
+		for _, g := range f.pick(0.15, true, rnd) {
 			set(f, &g.frozen, true)
 		}
-		drawn(ctx, rnd, time.Second)
+		sleepRandom(ctx, rnd, time.Second)
 		return f.change(ctx, false)
 	}},
-	{"those that others rest on cut off", func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time {
-		for _, g := range f.share(0.15, true, rnd) {
+	{"leaders cut off", func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time {
+		for _, g := range f.pick(0.15, true, rnd) {
 			set(f, &g.isolated, true)
 		}
-		drawn(ctx, rnd, time.Second)
+		sleepRandom(ctx, rnd, time.Second)
 		return f.change(ctx, false)
 	}},
-	{"store back from a copy", func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time {
+	{"store restored from a copy", func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time {
 		f.locked(func() {
-			f.store.away = true
+			f.store.refusing = true
 			close(f.store.cut)
 			f.store.cut = make(chan struct{})
 		})
 		wait.Sleep(ctx, 500*time.Millisecond)
-		drawn(ctx, rnd, 3*time.Second)
-		f.locked(func() { f.store.back(3) })
+		sleepRandom(ctx, rnd, 3*time.Second)
+		f.locked(func() { f.store.restore(3) })
 		return f.change(ctx, false)
 	}},
-	{"store silent for all, and back", func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time {
+	{"store unresponsive for all, then back", func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time {
 		for _, g := range f.gateways {
-			set(f, &g.reach, isSilent)
+			set(f, &g.access, accessTimesOut)
 		}
 		wait.Sleep(ctx, 500*time.Millisecond)
-		drawn(ctx, rnd, 3*time.Second)
+		sleepRandom(ctx, rnd, 3*time.Second)
 		for _, g := range f.gateways {
-			set(f, &g.reach, reaches)
+			set(f, &g.access, accessOK)
 		}
 		return f.change(ctx, false)
 	}},
-	{"waiting watches deaf, store silent for a share", deafness(false, false, func(f *simFleet, rnd *rand.Rand) {
-		for _, g := range f.share(0.35, false, rnd) {
-			set(f, &g.reach, isSilent)
+	{"waiting watches stalled, store unresponsive for some", stalledWatches(false, false, func(f *simFleet, rnd *rand.Rand) {
+		for _, g := range f.pick(0.35, false, rnd) {
+			set(f, &g.access, accessTimesOut)
 		}
 	})},
-	{"store refuses a share, some frozen", func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time {
-		some := f.share(0.35, false, rnd)
+	{"store refuses some, some frozen", func(ctx context.Context, f *simFleet, rnd *rand.Rand) time.Time {
+		some := f.pick(0.35, false, rnd)
 		for _, g := range some {
-			set(f, &g.reach, isRefused)
+			set(f, &g.access, accessRefused)
 		}
 		wait.Sleep(ctx, time.Second)
 		changed := f.change(ctx, false)
-		wait.Sleep(ctx, 20*time.Millisecond) // they have it, and tell it
-		for _, g := range f.share(0.25, true, rnd) {
+		wait.Sleep(ctx, 20*time.Millisecond) // they have the change and report it
+		for _, g := range f.pick(0.25, true, rnd) {
 			set(f, &g.frozen, true)
 		}
 		return changed
 	}},
 }
 
-// spread is what a fault showed.
-type spread struct {
-	longest time.Duration // until a gateway that runs and is reached has the change
-	calls   float64       // to the store a second, before the fault
-	peak    int           // most calls in a second, during it and afterwards
+// measurement holds the measurements of one simulation.
+type measurement struct {
+	longest time.Duration // until the last gateway that runs and is reachable has the change
+	calls   float64       // calls to the store per second before the fault
+	peak    int           // most calls to the store in one second, during the fault and afterwards
 }
 
-// play plays a fault.
-func play(t *testing.T, n int, within time.Duration, fl fault, seed uint64) (out spread) {
+// run simulates a fleet with the given fault.
+func run(t *testing.T, n int, within time.Duration, fl fault, seed uint64) (out measurement) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -182,16 +188,16 @@
 		wait.Sleep(ctx, 2*time.Second)
 		out.calls = float64(f.calls()-before) / 2
 		go f.watchCalls(ctx, &out.peak)
-		drawn(ctx, rnd, 2*time.Second)
-		acknowledged := fl.play(ctx, f, rnd)
+		sleepRandom(ctx, rnd, 2*time.Second)
+		acknowledged := fl.run(ctx, f, rnd)
 		wait.Sleep(ctx, 3*within)
 		for _, g := range f.gateways {
 			switch f.mu.Lock(); {
 			case g.frozen || g.isolated:
-			case g.hadAt.IsZero():
+			case g.deliveredAt.IsZero():
 				out.longest = 3 * within
 			default:
-				out.longest = max(out.longest, g.hadAt.Sub(acknowledged))
+				out.longest = max(out.longest, g.deliveredAt.Sub(acknowledged))
 			}
 			f.mu.Unlock()
 		}
@@ -201,7 +207,7 @@
 	return out
 }
 
-// watchCalls notes the most calls in a second.
+// watchCalls records the most calls to the store in one second.
 func (f *simFleet) watchCalls(ctx context.Context, peak *int) {
 	for before := f.calls(); wait.Sleep(ctx, time.Second); {
 		now := f.calls()
@@ -210,9 +216,9 @@
 	}
 }
 
-// mostCalls bounds the calls of a gateway to the store in a second, whatever happens: the
-// store allows all of them together some thousands.
-const mostCalls = 6
+// maxCalls bounds the calls of one gateway to the store in one second under any fault. The
+// store allows a few thousand for all gateways together.
+const maxCalls = 6
 
 func (f *simFleet) calls() int {
 	n := 0
@@ -222,8 +228,8 @@
 	return n
 }
 
-// The bound is that of the operators, less a margin; the worst sum of each fault is searched
-// over seeds. SPREAD_SEEDS sets how many times as many are searched.
+// For each fault, the longest time over all seeds must stay below the operators' bound less
+// the margin. SPREAD_SEEDS multiplies the number of seeds.
 func TestTheWorstSumOfAllWaitsIsWithinTheBound(t *testing.T) {
 	times, err := strconv.Atoi(os.Getenv("SPREAD_SEEDS"))
 	if err != nil {
@@ -235,21 +241,21 @@
 	}{{3, 6, 2 * time.Second}, {8, 6, 2 * time.Second}, {24, 4, 3 * time.Second}, {149, 1, 3 * time.Second}} {
 		for i, fl := range faults {
 			if size.gateways > 100 && times == 1 && i%3 != 0 {
-				continue // a third of them: each takes seconds
+				continue // runs a third of the faults only, because each takes seconds
 			}
 			t.Run(fmt.Sprintf("%d gateways, %s", size.gateways, fl.name), func(t *testing.T) {
 				t.Parallel()
-				var worst spread
+				var worst measurement
 				for seed := range uint64(size.seeds * times) {
-					s := play(t, size.gateways, size.within, fl, seed)
-					worst = spread{max(worst.longest, s.longest), max(worst.calls, s.calls), max(worst.peak, s.peak)}
+					s := run(t, size.gateways, size.within, fl, seed)
+					worst = measurement{max(worst.longest, s.longest), max(worst.calls, s.calls), max(worst.peak, s.peak)}
 				}
-				t.Logf("%d gateways, %s: worst of %d: %v of %v; %.1f calls/s when calm, %d at the most", size.gateways, fl.name, size.seeds*times, worst.longest, size.within, worst.calls, worst.peak)
-				if worst.peak > mostCalls*size.gateways {
-					t.Errorf("%d calls in a second of %d gateways", worst.peak, size.gateways)
+				t.Logf("%d gateways, %s: longest of %d seeds: %v of %v; %.1f calls/s before the fault, %d at most", size.gateways, fl.name, size.seeds*times, worst.longest, size.within, worst.calls, worst.peak)
+				if worst.peak > maxCalls*size.gateways {
+					t.Errorf("%d calls in one second by %d gateways", worst.peak, size.gateways)
 				}
 				if worst.longest > time.Duration((1-margin)*float64(size.within)) {
-					t.Errorf("worst sum %v, bound %v less %v of it", worst.longest, size.within, margin)
+					t.Errorf("longest time %v, bound %v less a fraction of %v", worst.longest, size.within, margin)
 				}
 			})
 		}
--- a/entry/follow/spread_world_test.go
+++ b/entry/follow/spread_world_test.go
@@ -17,27 +17,28 @@
 )
 
 const (
-	// hop is the time of a message between two VMs or to the store, and back half of it.
+	// hop is the delay added to a call between two VMs or to the store. A one-way message
+	// takes half of it.
 	hop = 4 * time.Millisecond
-	// serveTime is the time in which the store or a gateway answers.
+	// serveTime is the time that the store or a gateway takes to answer.
 	serveTime = 6 * time.Millisecond
 )
 
-// simStore is a store in simulated time.
+// simStore simulates the store.
 type simStore struct {
-	era, revision uint64
-	items         map[string]source.Item
-	events        []source.Event
-	dropped       uint64
-	changed       chan struct{}
-	deaf          bool // watches that wait hear nothing
-	mute          bool // new ones hear nothing either
-	cut           chan struct{}
-	away          bool
+	term, revision uint64
+	items          map[string]source.Item
+	events         []source.Event
+	dropped        uint64
+	changed        chan struct{}
+	stalled        bool // waiting watches get no events
+	stalledNew     bool // new watches get no events either
+	cut            chan struct{}
+	refusing       bool // the store refuses all calls
 }
 
 func newSimStore() *simStore {
-	s := &simStore{era: 1, items: make(map[string]source.Item), changed: make(chan struct{}), cut: make(chan struct{})}
+	s := &simStore{term: 1, items: make(map[string]source.Item), changed: make(chan struct{}), cut: make(chan struct{})}
 	for i := range 20 {
 		s.put(fmt.Sprintf("key-%d", i))
 	}
@@ -46,28 +47,28 @@
 
 func (s *simStore) put(key string) source.Position {
 	s.revision++
-	at := source.Position{Era: s.era, Revision: s.revision}
+	at := source.Position{Era: s.term, Revision: s.revision}
 	s.items[key] = source.Item{Key: key, Position: at}
 	s.events = append(s.events, source.Event{Item: s.items[key]})
-	if !s.deaf {
+	if !s.stalled {
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
 	return at
 }
 
-// drop forgets the history and cuts the watches.
+// drop discards the history and cuts the watches.
 func (s *simStore) drop() {
-	s.events, s.dropped, s.deaf, s.mute = nil, s.revision, false, false
+	s.events, s.dropped, s.stalled, s.stalledNew = nil, s.revision, false, false
 	close(s.cut)
 	s.cut = make(chan struct{})
 }
 
-// back brings the store back from a copy without the latest changes.
-func (s *simStore) back(lost uint64) {
+// restore restores the store from a copy that lacks the latest changes.
+func (s *simStore) restore(lost uint64) {
 	s.revision -= lost
-	s.era++
-	s.away = false
+	s.term++
+	s.refusing = false
 	for key, i := range s.items {
 		if i.Revision > s.revision {
 			delete(s.items, key)
@@ -78,46 +79,47 @@
 	s.cut = make(chan struct{})
 }
 
-// how a gateway reaches the store.
-type reach int
+// access is how a gateway reaches the store.
+type access int
 
 const (
-	reaches reach = iota
-	isRefused
-	isSilent
+	accessOK access = iota
+	accessRefused
+	accessTimesOut
 )
 
-// simGateway is what a gateway does about the store and the other gateways.
+// simGateway simulates the part of a gateway that deals with the store and with other
+// gateways.
 type simGateway struct {
-	fleet    *simFleet
-	index    int
-	table    *cluster.Table
-	rnd      *rand.Rand
-	follower *source.Follower
-	exchange *Exchange
-	election *Election
-	reach    reach
-	frozen   bool
-	isolated bool
-	resting  bool
-	leads    bool
-	active   bool
-	listed   bool
-	changed  source.Position
-	retained uint64
-	has      source.Position // change of the watched key that was delivered
-	hadAt    time.Time
-	calls    int
+	fleet       *simFleet
+	index       int
+	table       *cluster.Table
+	rnd         *rand.Rand
+	follower    *source.Follower
+	exchange    *Exchange
+	election    *Election
+	access      access
+	frozen      bool
+	isolated    bool
+	passive     bool
+	leads       bool
+	active      bool
+	listed      bool
+	changed     source.Position
+	retained    uint64
+	delivered   source.Position // latest delivered change of the watched key
+	deliveredAt time.Time
+	calls       int
 }
 
-// simFleet is a fleet in simulated time.
+// simFleet simulates a fleet.
 type simFleet struct {
-	mu       sync.Mutex // guards all that is not the followers' own
+	mu       sync.Mutex // guards everything except the state inside the followers
 	store    *simStore
 	gateways []*simGateway
 	within   time.Duration
 	at       map[string]*simGateway
-	asked    source.Position // the change that is waited for
+	awaited  source.Position // the awaited change
 }
 
 func newSimFleet(ctx context.Context, n int, within time.Duration, seed uint64) *simFleet {
@@ -133,15 +135,15 @@
 		g.table.Attend()
 		g.follower = &source.Follower{
 			Store: g, Log: zerolog.Nop(), Within: within, Deliver: g.deliver,
-			Others: g.others, Duty: g.decideDuty,
+			Others: g.others, Duty: g.decideRole,
 		}
 		f.gateways = append(f.gateways, g)
 		f.at[address(i)] = g
 	}
 	for _, g := range f.gateways {
 		go g.follower.Run(ctx)
-		go g.beat(ctx)
-		go g.look(ctx)
+		go g.sendHeartbeats(ctx)
+		go g.runChecks(ctx)
 	}
 	return f
 }
@@ -149,13 +151,14 @@
 func (g *simGateway) name() string { return fmt.Sprintf("vm%d", g.index) }
 func (g *simGateway) zone() string { return fmt.Sprintf("z%d", g.index%3) }
 
-// get reads and set writes what the fleet's lock guards.
+// get reads a value that the fleet's lock guards.
 func get[T any](f *simFleet, v *T) T {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return *v
 }
 
+// set writes a value that the fleet's lock guards.
 func set[T any](f *simFleet, v *T, to T) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -168,24 +171,25 @@
 	return Followers(g.zone(), g.table.Live()) - 1
 }
 
-// thaw waits until the gateway is not frozen.
-func (g *simGateway) thaw(ctx context.Context) {
+// waitUnfrozen waits until the gateway is no longer frozen.
+func (g *simGateway) waitUnfrozen(ctx context.Context) {
 	for get(g.fleet, &g.frozen) && wait.Sleep(ctx, 10*time.Millisecond) {
 	}
 }
 
-func (g *simGateway) decideDuty() source.Duty {
+func (g *simGateway) decideRole() source.Duty {
 	g.fleet.mu.Lock()
 	defer g.fleet.mu.Unlock()
-	duty := g.election.Decide(g.table.Live(), g.standing(), clock.Now())
-	g.leads, g.resting = duty == source.DutyLead, duty == source.DutyRest
-	return duty
+	role := g.election.Decide(g.table.Live(), g.state(), clock.Now())
+	g.leads, g.passive = role == source.DutyLead, role == source.DutyRest
+	return role
 }
 
-// standing returns what the gateway knows, under the fleet's lock.
-func (g *simGateway) standing() Standing {
+// state returns the gateway's state with regard to the store. The caller holds the fleet's
+// lock.
+func (g *simGateway) state() Standing {
 	return Standing{
-		Changed: g.changed, Retained: g.retained, Listed: g.listed, Resting: g.resting, Active: g.active,
+		Changed: g.changed, Retained: g.retained, Listed: g.listed, Resting: g.passive, Active: g.active,
 		Failing: g.follower.Failing(),
 	}
 }
@@ -194,11 +198,11 @@
 	g.fleet.mu.Lock()
 	defer g.fleet.mu.Unlock()
 	g.listed, g.changed = true, u.Changed
-	if at := u.Items[watchedKey].Position; at.After(g.has) {
-		g.has = at
+	if at := u.Items[watchedKey].Position; at.After(g.delivered) {
+		g.delivered = at
 	}
-	if g.hadAt.IsZero() && g.fleet.asked != (source.Position{}) && !g.fleet.asked.After(g.has) {
-		g.hadAt = clock.Now()
+	if g.deliveredAt.IsZero() && g.fleet.awaited != (source.Position{}) && !g.fleet.awaited.After(g.delivered) {
+		g.deliveredAt = clock.Now()
 	}
 }
 
@@ -210,14 +214,14 @@
 	}
 }
 
-// beat sends heartbeats as cluster.Node does.
-func (g *simGateway) beat(ctx context.Context) {
+// sendHeartbeats sends heartbeats as cluster.Node does.
+func (g *simGateway) sendHeartbeats(ctx context.Context) {
 	tick := 20 * time.Millisecond
 	if !g.active {
 		tick *= 5
 	}
 	for wait.Sleep(ctx, tick) {
-		g.thaw(ctx)
+		g.waitUnfrozen(ctx)
 		g.fleet.mu.Lock()
 		out, _ := g.table.Tick(g.self(), g.rnd, clock.Now())
 		g.fleet.mu.Unlock()
@@ -237,19 +241,19 @@
 	}
 }
 
-// look looks at the others as peering does.
-func (g *simGateway) look(ctx context.Context) {
+// runChecks checks the other gateways as gateway.peering does.
+func (g *simGateway) runChecks(ctx context.Context) {
 	for n := 0; wait.Sleep(ctx, RestLook); n++ {
-		g.thaw(ctx)
+		g.waitUnfrozen(ctx)
 		if n%int(LookInterval/RestLook) == 0 {
 			g.follower.Recheck()
-		} else if !get(g.fleet, &g.resting) {
+		} else if !get(g.fleet, &g.passive) {
 			continue
 		}
 		retained := g.follower.Retained()
 		g.fleet.mu.Lock()
 		g.retained = retained
-		step := g.exchange.Look(g.standing(), g.table.Live(), clock.Now())
+		step := g.exchange.Look(g.state(), g.table.Live(), clock.Now())
 		g.fleet.mu.Unlock()
 		if step.Nudge != (source.Position{}) {
 			g.follower.Nudge(step.Nudge)
@@ -260,7 +264,7 @@
 	}
 }
 
-// pull asks another gateway.
+// pull requests the state of another gateway and offers it to the follower.
 func (g *simGateway) pull(ctx context.Context, from cluster.Peer) {
 	defer func() {
 		g.fleet.mu.Lock()
@@ -275,20 +279,20 @@
 	}
 	state := to.follower.Since(g.at(), false)
 	time.Sleep(hop)
-	g.thaw(ctx)
+	g.waitUnfrozen(ctx)
 	g.follower.Offer(state)
 }
 
 func (g *simGateway) at() source.Position { return g.follower.Since(source.Position{}, false).Position }
 
-// call is the way of a call to the store.
+// call simulates the transport of a call to the store.
 func (g *simGateway) call(ctx context.Context) error {
 	wait.Sleep(ctx, hop)
-	g.thaw(ctx)
+	g.waitUnfrozen(ctx)
 	g.fleet.mu.Lock()
 	g.calls++
-	silent := g.isolated || g.reach == isSilent
-	refused := g.reach == isRefused || g.fleet.store.away
+	silent := g.isolated || g.access == accessTimesOut
+	refused := g.access == accessRefused || g.fleet.store.refusing
 	g.fleet.mu.Unlock()
 	if silent {
 		<-ctx.Done()
@@ -299,17 +303,17 @@
 	return nil
 }
 
-// List answers as the store does.
+// List implements source.Store.
 func (g *simGateway) List(ctx context.Context, _ string, _ source.Freshness) ([]source.Item, source.Position, error) {
 	if err := g.call(ctx); err != nil {
 		return nil, source.Position{}, err
 	}
 	g.fleet.mu.Lock()
 	s := g.fleet.store
-	at := source.Position{Era: s.era, Revision: s.revision}
+	at := source.Position{Era: s.term, Revision: s.revision}
 	var out []source.Item
 	for _, i := range s.items {
-		i.Era = s.era
+		i.Era = s.term
 		out = append(out, i)
 	}
 	g.fleet.mu.Unlock()
@@ -317,7 +321,7 @@
 	return out, at, nil
 }
 
-// answer is what the store answers to a watch at once, or for what that waits.
+// answer is the store's immediate answer to a watch, or the channels on which the watch waits.
 type answer struct {
 	events       []source.Event
 	at           source.Position
@@ -327,10 +331,10 @@
 
 func (s *simStore) answer(after source.Position, first bool) answer {
 	out := answer{
-		at: source.Position{Era: s.era, Revision: s.revision}, gone: after.Revision < s.dropped || after.Revision > s.revision,
+		at: source.Position{Era: s.term, Revision: s.revision}, gone: after.Revision < s.dropped || after.Revision > s.revision,
 		changed: s.changed, cut: s.cut,
 	}
-	if s.deaf && (!first || s.mute) {
+	if s.stalled && (!first || s.stalledNew) {
 		out.at.Revision = min(s.revision, after.Revision)
 		return out
 	}
@@ -342,7 +346,7 @@
 	return out
 }
 
-// Watch answers as the store does.
+// Watch implements source.Store.
 func (g *simGateway) Watch(ctx context.Context, _ string, after source.Position, period time.Duration) ([]source.Event, source.Position, error) {
 	if err := g.call(ctx); err != nil {
 		return nil, source.Position{}, err
@@ -352,7 +356,7 @@
 	for first := true; ; first = false {
 		g.fleet.mu.Lock()
 		now := g.fleet.store.answer(after, first)
-		silent := g.isolated || g.reach == isSilent
+		silent := g.isolated || g.access == accessTimesOut
 		g.fleet.mu.Unlock()
 		switch {
 		case silent:
@@ -362,16 +366,16 @@
 			return nil, source.Position{}, source.ErrHistoryLost
 		case len(now.events) > 0:
 			wait.Sleep(ctx, serveTime)
-			g.thaw(ctx)
+			g.waitUnfrozen(ctx)
 			return now.events, now.at, nil
 		}
 		select {
 		case <-now.changed:
 		case <-now.cut:
-			g.thaw(ctx)
+			g.waitUnfrozen(ctx)
 			return nil, source.Position{}, source.ErrUnavailable
 		case <-timer.C:
-			g.thaw(ctx)
+			g.waitUnfrozen(ctx)
 			return nil, now.at, nil
 		case <-ctx.Done():
 			return nil, source.Position{}, source.ErrUnavailable
--- a/entry/limits/holder.go
+++ b/entry/limits/holder.go
@@ -9,7 +9,8 @@
 const (
 	// renewAfter is the age at which a lease in use is renewed.
 	renewAfter = LeaseTime / 3
-	// minRequestInterval is the least time between two lease requests caused by refused requests.
+	// minRequestInterval is the least time between two lease requests caused by refused
+	// requests.
 	minRequestInterval = 20 * time.Millisecond
 	// demandWindow is how long a lease is renewed after the last request, admitted or
 	// refused, if none is running.
--- a/entry/quarantine/spread.go
+++ b/entry/quarantine/spread.go
@@ -17,7 +17,8 @@
 	// maxReportedEnds bounds the ends in one heartbeat, so that they fit a datagram of the
 	// usual size.
 	maxReportedEnds = 40
-	// minRotated is the least number of unchanged suspects in a heartbeat, if there are as many.
+	// minRotated is the least number of unchanged suspects in a heartbeat, if there are as
+	// many.
 	minRotated = 4
 )
 
