--- a/entry/membership/fleet.go
+++ b/entry/membership/fleet.go
@@ -13,40 +13,39 @@
 )
 
 const (
-	// refreshInterval is how often the usable entry VMs are looked over.
+	// refreshInterval is how often the set of usable entry VMs is refreshed.
 	refreshInterval = 200 * time.Millisecond
-	// pauseGap is the time between two looks after which this process must
+	// pauseGap is the time between two refreshes from which on this process is assumed to
 	// have been paused.
 	pauseGap = time.Second
 )
 
-// Snapshot is how this entry VM sees the others at one moment. It is never
-// changed after it was made.
+// Snapshot is this entry VM's view of the fleet at one moment. It is immutable.
 type Snapshot struct {
 	Listed int     // entry VMs on the list
-	Usable []vm.VM // that may get new work, by id; this one included
+	Usable []vm.VM // entry VMs that may get new work, sorted by ID; includes this one
 	// Generation changes whenever Usable does.
 	Generation uint64
-	// Awake is since when this process has been running without a pause.
+	// Awake is the time since which this process has been running without a pause.
 	Awake time.Time
-	// Recent are the earlier sets of usable entry VMs that ended less than
-	// RecentWindow ago, with the times at which they did.
+	// Recent holds the earlier sets of usable entry VMs that were replaced less than
+	// RecentWindow ago, each with the time of its replacement.
 	Recent []EndedSet
 
-	looked time.Time
+	refreshedAt time.Time
 }
 
-// EndedSet is a set of usable entry VMs that is out of date.
+// EndedSet is an outdated set of usable entry VMs.
 type EndedSet struct {
 	Usable []vm.VM
 	Ended  time.Time
 }
 
-// RecentWindow is for how long earlier sets are remembered.
+// RecentWindow is how long earlier sets are kept.
 const RecentWindow = 5 * time.Second
 
-// Fleet keeps the snapshot, so that what depends on it is computed anew only
-// when it changed.
+// Fleet maintains the snapshot, so that results derived from it are recomputed only when it
+// has changed.
 type Fleet struct {
 	self     vm.ID
 	vms      *configuration.VMs
@@ -54,7 +53,7 @@
 	snapshot atomic.Pointer[Snapshot]
 }
 
-// NewFleet returns the fleet as seen by one entry VM.
+// NewFleet returns the view of the fleet from one entry VM.
 func NewFleet(self vm.ID, vms *configuration.VMs, prober *Prober) *Fleet {
 	f := &Fleet{self: self, vms: vms, prober: prober}
 	f.refresh(clock.Now())
@@ -82,8 +81,9 @@
 	}
 }
 
+// refresh replaces the snapshot with the current view.
 func (f *Fleet) refresh(now time.Time) {
-	next := &Snapshot{looked: now, Awake: now}
+	next := &Snapshot{refreshedAt: now, Awake: now}
 	for _, v := range f.vms.List().WithRole(vm.RoleEntry) {
 		next.Listed++
 		if v.ID == f.self || f.prober.Usable(v) {
@@ -99,7 +99,7 @@
 	}
 	next.Generation = old.Generation
 	same := slices.EqualFunc(old.Usable, next.Usable, func(a, b vm.VM) bool { return a.ID == b.ID && a.HTTP == b.HTTP && a.Zone == b.Zone })
-	if now.Sub(old.looked) < pauseGap {
+	if now.Sub(old.refreshedAt) < pauseGap {
 		next.Awake = old.Awake
 	}
 	for _, set := range old.Recent {
--- a/entry/membership/fuzz_test.go
+++ b/entry/membership/fuzz_test.go
@@ -9,8 +9,8 @@
 	"baywall.example/core/wire"
 )
 
-// FuzzReceive feeds any datagram to a table: nothing panics, and what is known
-// of a VM never grows beyond the list.
+// FuzzReceive feeds arbitrary datagrams to a table: it must not panic, and its peers must
+// remain those of the list.
 func FuzzReceive(f *testing.F) {
 	for _, p := range []*wire.Probe{
 		{Vm: "e001", Incarnation: 1, Sequence: 1},
@@ -38,7 +38,7 @@
 			t.Fatal("a probe changed the list")
 		}
 		if table.Draining("e000") {
-			t.Fatal("others decide that this VM is leaving")
+			t.Fatal("a probe from another VM made this VM drain")
 		}
 	})
 }
--- a/entry/membership/prober.go
+++ b/entry/membership/prober.go
@@ -43,9 +43,9 @@
 	rnd   *rand.Rand
 }
 
-// NewProber opens the socket. The self function tells what to say about this
-// process; onNewer runs for each probe from a VM on the list, so that a newer
-// revision can be pulled.
+// NewProber opens the socket. The self function returns the state to report about this
+// process. The onNewer function is called for each probe from a VM on the list, so that a
+// newer revision can be pulled.
 func NewProber(address string, self func() Self, onNewer func(vm.ID, *wire.Probe), recorder *timeline.Recorder, log zerolog.Logger) (*Prober, error) {
 	udp, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -62,7 +62,7 @@
 	}, nil
 }
 
-// Run probes until the context ends, then closes the socket.
+// Run sends and receives probes until the context ends, and then closes the socket.
 func (p *Prober) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
@@ -83,7 +83,7 @@
 	}
 }
 
-// Rumor sends the own state to a few peers at once.
+// Rumor sends the state of this process to a few random peers immediately.
 func (p *Prober) Rumor() {
 	p.mu.Lock()
 	out := p.table.Rumor(p.self(), p.rnd)
@@ -122,7 +122,7 @@
 		p.received.Add(int64(n))
 		var m wire.Probe
 		if err := proto.Unmarshal(buf[:n], &m); err != nil {
-			p.log.Warn().Str("remote", from.String()).Err(err).Msg("bad probe")
+			p.log.Warn().Str("remote", from.String()).Err(err).Msg("discarded a malformed probe")
 			continue
 		}
 		p.handle(&m)
@@ -145,6 +145,7 @@
 	p.onNewer(vm.ID(m.GetVm()), m)
 }
 
+// note records changes of the suspicion of VMs in the timeline.
 func (p *Prober) note(changes []Change) {
 	for _, c := range changes {
 		kind, reason := timeline.KindAlive, "answered a probe"
@@ -155,34 +156,34 @@
 	}
 }
 
-// SetList takes over the platform's list.
+// SetList applies the platform's list.
 func (p *Prober) SetList(list vm.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.SetList(list)
 }
 
-// Learn passes on what an agent said about itself.
+// Learn applies an agent's report about itself, so that it is forwarded to other entry VMs.
 func (p *Prober) Learn(n *wire.News) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.Learn(n)
 }
 
-// Usable reports whether an entry VM may get new work: it is on the list as
-// live, answers, and did not say that it is leaving.
+// Usable reports whether an entry VM may get new work: it is live on the list, not suspect,
+// and has not reported that it is draining.
 func (p *Prober) Usable(v vm.VM) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return v.State == vm.StateLive && !p.table.Suspect(v.ID) && !p.table.Draining(v.ID)
 }
 
-// Revision returns the configuration revision a VM last told of.
+// Revision returns the configuration revision that a VM last reported.
 func (p *Prober) Revision(id vm.ID) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Revision(id)
 }
 
-// Traffic returns the bytes sent and received so far.
+// Traffic returns the number of bytes sent and received so far.
 func (p *Prober) Traffic() (sent, received int64) { return p.sent.Load(), p.received.Load() }
--- a/entry/membership/table.go
+++ b/entry/membership/table.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// fanout is how many VMs are probed in each interval.
+	// fanout is the number of VMs that are probed in each interval.
 	fanout = 3
-	// suspectAfter is how many unanswered probes make a VM suspect.
+	// suspectAfter is the number of unanswered probes after which a VM is suspect.
 	suspectAfter = 3
 	// answerTime is how long an answer may take.
 	answerTime = 300 * time.Millisecond
-	// newsPerProbe bounds the news items in one datagram.
-	newsPerProbe = 24
-	// spreadFactor times log2 of the fleet's size is how often an item is
-	// passed on.
+	// updatesPerProbe bounds the updates in one datagram.
+	updatesPerProbe = 24
+	// spreadFactor times log2 of the fleet's size is the number of times that an update is
+	// forwarded.
 	spreadFactor = 1
 )
 
-// Self is what this process says about itself.
+// Self is the state that this process reports about itself.
 type Self struct {
 	VM             vm.ID
 	Incarnation    vm.Incarnation
@@ -33,17 +33,16 @@
 	ConfigDigest   uint64
 	VMsRevision    uint64
 	Draining       bool
-	// Suspects are what is told of requests that may end backend servers.
+	// Suspects is the report on requests that may bring down backend servers.
 	Suspects []*wire.Suspect
 }
 
-// Table is the state of the membership protocol. It is not safe for concurrent
-// use.
+// Table is the state of the membership protocol. It is not safe for concurrent use.
 type Table struct {
 	self     vm.ID
 	sequence uint64
 	peers    map[vm.ID]*peer
-	facts    map[vm.ID]*fact
+	reports  map[vm.ID]*vmReport
 }
 
 // peer is another entry VM on the list.
@@ -54,16 +53,16 @@
 	suspect bool
 }
 
-// fact is what a VM last said about itself.
-type fact struct {
-	news wire.News
-	sent int // how often passed on
+// vmReport is the last report of a VM about itself.
+type vmReport struct {
+	report wire.News
+	sent   int // how often it was forwarded
 }
 
-// Change is a change of what is known about one VM.
+// Change is a change in whether a VM is suspect.
 type Change struct {
 	VM      vm.ID
-	Suspect bool // otherwise it answers again
+	Suspect bool // false if the VM answers again
 }
 
 // Datagram is a probe to send.
@@ -74,10 +73,10 @@
 
 // NewTable returns an empty table.
 func NewTable(self vm.ID) *Table {
-	return &Table{self: self, peers: make(map[vm.ID]*peer), facts: make(map[vm.ID]*fact)}
+	return &Table{self: self, peers: make(map[vm.ID]*peer), reports: make(map[vm.ID]*vmReport)}
 }
 
-// SetList takes over the platform's list.
+// SetList applies the platform's list.
 func (t *Table) SetList(list vm.List) {
 	listed := make(map[vm.ID]struct{}, len(list.VMs))
 	for _, v := range list.VMs {
@@ -96,14 +95,15 @@
 			delete(t.peers, id)
 		}
 	}
-	for id := range t.facts {
+	for id := range t.reports {
 		if _, ok := listed[id]; !ok {
-			delete(t.facts, id)
+			delete(t.reports, id)
 		}
 	}
 }
 
-// Tick counts unanswered probes and returns the probes of a new interval.
+// Tick counts unanswered probes, and returns the probes of a new interval and the VMs that
+// have become suspect.
 func (t *Table) Tick(self Self, rnd *rand.Rand, now time.Time) ([]Datagram, []Change) {
 	var changes []Change
 	for _, p := range t.peers {
@@ -127,7 +127,8 @@
 	return out, changes
 }
 
-// Rumor returns probes to random peers, sent at once when there is news.
+// Rumor returns probes to random peers, which are sent immediately after a change. Missing
+// answers to them do not count.
 func (t *Table) Rumor(self Self, rnd *rand.Rand) []Datagram {
 	var out []Datagram
 	for _, p := range t.choose(rnd) {
@@ -136,6 +137,7 @@
 	return out
 }
 
+// choose returns up to fanout random peers.
 func (t *Table) choose(rnd *rand.Rand) []*peer {
 	all := make([]*peer, 0, len(t.peers))
 	for _, p := range t.peers {
@@ -146,6 +148,8 @@
 	return all[:min(fanout, len(all))]
 }
 
+// probe returns a new probe, or with ack the answer to the probe with the given sequence
+// number.
 func (t *Table) probe(self Self, ack bool, sequence uint64) *wire.Probe {
 	if !ack {
 		t.sequence++
@@ -154,35 +158,36 @@
 	return &wire.Probe{
 		Vm: string(self.VM), Incarnation: uint64(self.Incarnation), Sequence: sequence, Ack: ack,
 		ConfigRevision: self.ConfigRevision, ConfigDigest: self.ConfigDigest, VmsRevision: self.VMsRevision,
-		Draining: self.Draining, News: t.pickNews(), Suspects: self.Suspects,
+		Draining: self.Draining, News: t.pickUpdates(), Suspects: self.Suspects,
 	}
 }
 
-// pickNews returns the least often sent items that are still being spread.
-func (t *Table) pickNews() []*wire.News {
-	limit := spreadFactor * (1 + bits.Len(uint(len(t.facts))))
-	var fresh []*fact
-	for _, f := range t.facts {
+// pickUpdates returns the updates that are still being forwarded, the least often sent ones
+// first, and counts them as sent.
+func (t *Table) pickUpdates() []*wire.News {
+	limit := spreadFactor * (1 + bits.Len(uint(len(t.reports))))
+	var fresh []*vmReport
+	for _, f := range t.reports {
 		if f.sent < limit {
 			fresh = append(fresh, f)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b *fact) int {
-		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.news.GetVm(), b.news.GetVm()))
+	slices.SortFunc(fresh, func(a, b *vmReport) int {
+		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.report.GetVm(), b.report.GetVm()))
 	})
 	var out []*wire.News
-	for _, f := range fresh[:min(newsPerProbe, len(fresh))] {
+	for _, f := range fresh[:min(updatesPerProbe, len(fresh))] {
 		f.sent++
 		out = append(out, &wire.News{
-			Vm: f.news.GetVm(), Incarnation: f.news.GetIncarnation(), Sequence: f.news.GetSequence(),
-			ConfigRevision: f.news.GetConfigRevision(), Draining: f.news.GetDraining(),
+			Vm: f.report.GetVm(), Incarnation: f.report.GetIncarnation(), Sequence: f.report.GetSequence(),
+			ConfigRevision: f.report.GetConfigRevision(), Draining: f.report.GetDraining(),
 		})
 	}
 	return out
 }
 
-// Receive takes in a probe from another VM and returns the answer to send, or
-// nil. A probe from a VM that is not on the list is ignored.
+// Receive applies a probe from another VM and returns the answer to send, or nil. A probe
+// from a VM that is not on the list is ignored.
 func (t *Table) Receive(self Self, p *wire.Probe) (*wire.Probe, []Change) {
 	id := vm.ID(p.GetVm())
 	from := t.peers[id]
@@ -209,16 +214,16 @@
 	return t.probe(self, true, p.GetSequence()), changes
 }
 
-// Learn takes in what a VM said about itself, directly or through others. It
-// reports whether that changed anything worth passing on.
+// Learn applies the report of a VM about itself, received directly or through others. It
+// returns whether the report contains a change that has to be forwarded.
 func (t *Table) Learn(n *wire.News) bool {
 	id := vm.ID(n.GetVm())
-	f := t.facts[id]
+	f := t.reports[id]
 	if f == nil {
-		f = &fact{}
-		t.facts[id] = f
+		f = &vmReport{}
+		t.reports[id] = f
 	}
-	old := &f.news
+	old := &f.report
 	older := n.GetIncarnation() < old.GetIncarnation() ||
 		n.GetIncarnation() == old.GetIncarnation() && n.GetConfigRevision() < old.GetConfigRevision()
 	if older {
@@ -230,14 +235,13 @@
 		return false
 	}
 	draining := n.GetDraining() || old.GetDraining() && n.GetIncarnation() == old.GetIncarnation()
-	f.news.Vm, f.news.Incarnation, f.news.Sequence = n.GetVm(), n.GetIncarnation(), n.GetSequence()
-	f.news.ConfigRevision, f.news.Draining = n.GetConfigRevision(), draining
+	f.report.Vm, f.report.Incarnation, f.report.Sequence = n.GetVm(), n.GetIncarnation(), n.GetSequence()
+	f.report.ConfigRevision, f.report.Draining = n.GetConfigRevision(), draining
 	f.sent = 0
 	return true
 }
 
-// Address returns the probe address of another entry VM, and false if it is
-// not on the list.
+// Address returns the probe address of another entry VM, and false if it is not on the list.
 func (t *Table) Address(id vm.ID) (string, bool) {
 	p := t.peers[id]
 	if p == nil {
@@ -246,23 +250,23 @@
 	return p.vm.Probe, true
 }
 
-// Suspect reports whether an entry VM is suspect. The own VM never is.
+// Suspect reports whether an entry VM is suspect. This VM itself never is.
 func (t *Table) Suspect(id vm.ID) bool {
 	p := t.peers[id]
 	return p != nil && p.suspect
 }
 
-// Draining reports whether a VM said that it is leaving.
+// Draining reports whether a VM has reported that it is draining.
 func (t *Table) Draining(id vm.ID) bool {
-	f := t.facts[id]
-	return f != nil && f.news.GetDraining()
+	f := t.reports[id]
+	return f != nil && f.report.GetDraining()
 }
 
-// Revision returns the configuration revision a VM last told of.
+// Revision returns the configuration revision that a VM last reported.
 func (t *Table) Revision(id vm.ID) uint64 {
-	f := t.facts[id]
+	f := t.reports[id]
 	if f == nil {
 		return 0
 	}
-	return f.news.GetConfigRevision()
+	return f.report.GetConfigRevision()
 }
--- a/entry/membership/table_test.go
+++ b/entry/membership/table_test.go
@@ -12,7 +12,7 @@
 	"baywall.example/core/wire"
 )
 
-// cluster runs n tables in one goroutine, round by round.
+// cluster runs several tables in one goroutine, round by round.
 type cluster struct {
 	tables map[vm.ID]*Table
 	selves map[vm.ID]*Self
@@ -74,7 +74,7 @@
 	return n
 }
 
-func TestASilentVMIsSuspectedAndClearedWhenItAnswers(t *testing.T) {
+func TestUnresponsiveVMIsSuspectedUntilItAnswers(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(8, 1)
 	for range 10 {
@@ -85,7 +85,7 @@
 		c.round()
 	}
 	is.Equal(c.suspectedBy("e003"), 7)
-	is.Equal(c.suspectedBy("e001"), 1) // by the one that is cut off
+	is.Equal(c.suspectedBy("e001"), 1) // by the VM that is cut off
 	c.cut = func(vm.ID, vm.ID) bool { return false }
 	for range 20 {
 		c.round()
@@ -93,7 +93,7 @@
 	is.Equal(c.suspectedBy("e003"), 0)
 }
 
-func TestARevisionReachesEveryTableInFewRounds(t *testing.T) {
+func TestRevisionReachesEveryTableInFewRounds(t *testing.T) {
 	for _, n := range []int{8, 64, 320} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
@@ -118,8 +118,8 @@
 	}
 }
 
-// Once everything is known, probes carry no news, whatever the size.
-func TestAnIdleFleetSendsNoNews(t *testing.T) {
+// Once all VMs know all updates, probes carry none, whatever the size of the fleet.
+func TestIdleFleetSendsNoUpdates(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(40, 3)
 	for range 60 {
@@ -130,7 +130,7 @@
 	is.Equal(len(out[0].Probe.GetNews()), 0)
 }
 
-func TestNewsOfAnEarlierIncarnationOrRevisionIsIgnored(t *testing.T) {
+func TestUpdateOfEarlierIncarnationOrRevisionIsIgnored(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(2, 4)
 	table := c.tables["e000"]
@@ -145,7 +145,7 @@
 	is.True(!table.Draining("e001"))
 }
 
-func TestAProbeFromAnUnlistedVMIsIgnored(t *testing.T) {
+func TestProbeFromUnlistedVMIsIgnored(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(2, 5)
 	answer, changes := c.tables["e000"].Receive(*c.selves["e000"], &wire.Probe{Vm: "stranger", Incarnation: 1})
