--- a/entry/dispatch/dispatch.go
+++ b/entry/dispatch/dispatch.go
@@ -45,8 +45,8 @@
 	Key     uint64 // hash of the prompt prefix
 }
 
-// Place identifies an attempt and the agent incarnation that holds it. With it, the caller can
-// get the rest of its answer through another entry VM.
+// Place identifies an attempt and the agent incarnation that holds it. With it, the
+// caller can get the rest of its answer through another entry VM.
 type Place struct {
 	VM          vm.ID
 	Incarnation vm.Incarnation
--- a/entry/follow/exchange.go
+++ b/entry/follow/exchange.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// LookInterval is how often a gateway checks whether others know newer changes. RestLook
-	// is how often a gateway that does not follow the store itself checks.
+	// LookInterval is how often a gateway checks whether others know newer changes.
 	LookInterval = 200 * time.Millisecond
-	RestLook     = 100 * time.Millisecond
+	// RestLook is how often a gateway that does not follow the store itself checks this.
+	RestLook = 100 * time.Millisecond
 	// PullTimeout bounds a call to another gateway.
 	PullTimeout = 2 * time.Second
 )
 
 const (
-	// nudgeAfter and pullAfter are the numbers of consecutive checks, at intervals of
-	// LookInterval, that have to find a newer change at other gateways before the store is
-	// queried again, and before the state of one of them is pulled.
+	// nudgeAfter and pullAfter are the numbers of consecutive checks, at the interval of a
+	// gateway that follows the store, that have to find a newer change at other gateways
+	// before the store is queried again, and before the state of one of them is pulled.
 	nudgeAfter = 1
 	pullAfter  = 2
 	// hedgeAfter is how long a pull may take before another gateway is asked as well, and
--- a/entry/quarantine/doc.go
+++ b/entry/quarantine/doc.go
@@ -10,7 +10,7 @@
 //     before the answer was complete.
 //   - The server's process has ended: its host refused a new connection immediately
 //     afterwards. A server that is stalled together with its group, is cut off from the
-//     network or does not respond is no evidence.
+//     network or does not respond proves nothing.
 //   - No connection to the server has outlived the supposed end: a server that refuses new
 //     connections because it has too many keeps answering over the existing ones.
 //   - At most one other server on which no such request was running ended at the same
@@ -36,10 +36,10 @@
 // # Propagation
 //
 // Gateways report recent changes to each other in heartbeats and, in rotation, everything
-// that they know, whichever gateway observed it. A gateway that meets another one requests
-// its complete state over a link. States are merged by union, so the order and the number
-// of messages do not matter. Times are sent as ages. Nothing is stored: what no process
-// knows any more is lost.
+// that they know, whichever gateway observed it. A gateway that discovers another one
+// requests its complete state over a link. States are merged by union, so the order and the
+// number of messages do not matter. Times are sent as ages. Nothing is stored: what no
+// process knows any more is lost.
 //
 // # Bounds
 //
--- a/entry/quarantine/record.go
+++ b/entry/quarantine/record.go
@@ -38,7 +38,7 @@
 // Standing is the status of a request, which determines how it is handled.
 type Standing int
 
-// Values of Standing.
+// The statuses of a request.
 const (
 	Unsuspected Standing = iota
 	Suspected            // servers ended while running it; it is tried, apart from other suspects
