--- a/entry/balance/ended_test.go
+++ b/entry/balance/ended_test.go
@@ -7,9 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// A group of servers lost one of its hosts. Each gateway needed three refused connections
-// until it left the ended server alone, 34 attempts in 3 s on seven gateways.
-func TestAServerThatHasEndedGetsNothingMore(t *testing.T) {
+// Guards against sending requests to a process that has ended. After a host was lost,
+// each gateway needed three refused connections to eject a server on it: 34 attempts in 3
+// s on seven gateways.
+func TestAnEndedServerGetsNoRequests(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b")
 	ended := pick(t, r, start)
@@ -20,16 +21,16 @@
 		is.True(c.Server.ID != ended.Server.ID)
 		c.Release()
 	}
-	r.Ended(ended.Server, start.Add(firstEjection/2)) // told again by another request
+	r.Ended(ended.Server, start.Add(firstEjection/2)) // reported again by another request
 	tried := 0
 	for range 20 {
 		c := pick(t, r, start.Add(firstEjection))
 		if c.Server.ID == ended.Server.ID {
-			tried++ // and is under way
+			tried++ // and stays in flight
 		}
 	}
 	is.Equal(tried, 1)
-	r.Ended(ended.Server, start.Add(firstEjection)) // it is still away
+	r.Ended(ended.Server, start.Add(firstEjection)) // it still refuses connections
 	_, found := pickFrom(r, map[string]bool{"b": true, "a": true}, start.Add(firstEjection))
 	is.True(!found)
 	other := map[string]bool{"a": ended.Server.ID != "a", "b": ended.Server.ID != "b"}
@@ -39,8 +40,9 @@
 	is.True(found)
 }
 
-// That nothing listens is certain, so that all servers may be out at the same time.
-func TestAllServersMayHaveEnded(t *testing.T) {
+// A refused connection is a certain sign, so the limit of half of the servers does not
+// apply.
+func TestAllEndedServersAreEjected(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b", "c", "d")
 	for range 4 {
--- a/entry/balance/evacuation.go
+++ b/entry/balance/evacuation.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// While an availability zone is evacuated, its backend servers get nothing new: they are as
-// good as leaving, but stay listed, so that they are back at once.
+// While an availability zone is evacuated, its backend servers get no new requests. They
+// stay listed, so that they can be used again at once.
 
-// Evacuate sets the availability zones that are evacuated, and reports whether that changed. It
-// returns the listed servers of those that no longer are: they begin slowly, since all gateways
-// send to them again at once.
+// Evacuate sets the evacuated availability zones and reports whether they changed. It
+// returns the listed servers of the zones that are no longer evacuated. These begin with
+// a slow start, because all gateways resume sending to them at the same time.
 func (r *Registry) Evacuate(zones map[string]bool, now time.Time) (back []Info, changed bool) {
 	r.mu.Lock()
 	same := maps.Equal(r.evacuated, zones)
@@ -35,7 +35,7 @@
 	return back, true
 }
 
-// Evacuated returns the availability zones that are evacuated, in order.
+// Evacuated returns the evacuated availability zones, sorted.
 func (r *Registry) Evacuated() []string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -48,15 +48,15 @@
 	return r.evacuated[zone]
 }
 
-// allEvacuated reports whether the service has servers, and all that do not leave for another
-// reason are in evacuated availability zones.
+// allEvacuated reports whether servers of the service are in evacuated availability zones
+// and all others are withdrawn for another reason.
 func (s *shard) allEvacuated() bool {
 	evacuated := 0
 	for _, server := range s.servers {
 		switch {
 		case server.evacuated:
 			evacuated++
-		case !server.leaves():
+		case !server.withdrawn():
 			return false
 		}
 	}
--- a/entry/balance/evacuation_test.go
+++ b/entry/balance/evacuation_test.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 )
 
-// zonedInfos are servers a in zone x, and b and c in y.
+// zonedInfos returns server a in zone x, and servers b and c in zone y.
 func zonedInfos() []Info {
 	list := infos("a", "b", "c")
 	list[0].Zone, list[1].Zone, list[2].Zone = "x", "y", "y"
@@ -32,7 +32,7 @@
 			r := NewRegistry(peerLoad{}, "", zerolog.Nop())
 			r.Update(zonedInfos()[:2], at(1), 0, start)
 			r.Evacuate(c.zones, start)
-			r.Update(zonedInfos(), at(2), 0, start) // also for one that is listed later
+			r.Update(zonedInfos(), at(2), 0, start) // also with a server that is listed later
 			picked := make(map[string]bool)
 			for range 100 {
 				choice, found := r.Pick(Demand{Service: "s"}, start)
@@ -51,9 +51,9 @@
 	}
 }
 
-// A request that was meant for a server when its zone was evacuated is not sent to it, and the
-// server is not asked by probes.
-func TestAnEvacuatedServerTakesNothingThatWasMeantForIt(t *testing.T) {
+// A request that was assigned to a server before its zone was evacuated must not be sent
+// to it, and the server must not be probed.
+func TestAnEvacuatedServerIsNotSentAssignedRequests(t *testing.T) {
 	is := is.New(t)
 	r := NewRegistry(peerLoad{}, "", zerolog.Nop())
 	r.Update(zonedInfos()[:1], at(1), 0, start)
@@ -69,5 +69,5 @@
 	is.Equal(len(back), 1)
 	is.Equal(back[0].ID, choice.Server.ID)
 	is.NoErr(r.Admits(choice.Server, start))
-	is.True(choice.Server.startShare(start) < 1) // it begins slowly
+	is.True(choice.Server.startShare(start) < 1) // it is in slow start
 }
--- a/entry/balance/hold.go
+++ b/entry/balance/hold.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// holdTime is for how long streams are held back after passes became long: a new
-// expert map is in use 0.5 s after a change of demand. Passes that stay long would
-// only make everybody late by their first event.
+// holdTime is for how long streams are held back after passes became long: a new expert
+// map is in use 0.5 s after a change of demand. If passes stay long, holding streams back
+// for longer would only make all of them late by their first event.
 const holdTime = 600 * time.Millisecond
 
-// longPasses remembers since when a server's passes are long.
+// longPasses tracks since when the passes of a server are long.
 type longPasses struct{ since time.Time }
 
-// holds notes whether passes are long, and reports whether to hold streams back.
+// holds records whether passes are long, and reports whether to hold streams back.
 func (l *longPasses) holds(long bool, now time.Time) bool {
 	switch {
 	case !long:
--- a/entry/balance/late.go
+++ b/entry/balance/late.go
@@ -6,19 +6,19 @@
 	"baywall.example/entry/admission"
 )
 
-// Arrived counts a request that can be on time.
+// Arrived counts a request that can still be on time.
 func (r *Registry) Arrived(service string, now time.Time) {
 	s := r.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.punctual.note(now)
+	s.onTime.note(now)
 }
 
-// Late is what a gateway may do, and does, about a service's late requests.
+// Late is the quota and the usage of a service's late requests at one gateway.
 type Late struct {
-	Room  float64       // how many may be at servers at a time
-	Taken int           // how many are
-	Stay  time.Duration // for which a request is taken to occupy a slot
+	Room  float64       // maximum number of concurrent late requests
+	Taken int           // late requests in flight
+	Stay  time.Duration // expected time for which a request occupies a slot
 }
 
 // Late returns the state of a service's late requests.
@@ -29,14 +29,14 @@
 	load := Load{}
 	for _, server := range s.servers {
 		if !server.drains() && !server.replaced {
-			load.Slots += server.Slots // also of those that stand: they are expected back
+			load.Slots += server.Slots // including stalled servers, which are expected to recover
 		}
 	}
-	return Late{Room: s.lateRoom(load, d, r.peers.Members(), now), Taken: int(s.late.Load()), Stay: s.stay(d)}
+	return Late{Room: s.lateQuota(load, d, r.peers.Members(), now), Taken: int(s.late.Load()), Stay: s.serviceTime(d)}
 }
 
-func (s *shard) lateRoom(load Load, d Demand, members int, now time.Time) float64 {
+func (s *shard) lateQuota(load Load, d Demand, members int, now time.Time) float64 {
 	return admission.LateRoom(admission.Places{
-		Slots: load.Slots, Members: members, PunctualRate: s.punctual.rateAt(now), Stay: s.stay(d),
+		Slots: load.Slots, Members: members, PunctualRate: s.onTime.rateAt(now), Stay: s.serviceTime(d),
 	})
 }
--- a/entry/balance/limit.go
+++ b/entry/balance/limit.go
@@ -7,23 +7,24 @@
 	"baywall.example/core/ratelimit"
 )
 
-// A backend server with a limit, as it names one or is cold, gets a request when there is a
-// permit for it, and is left out until then: it is neither full nor ejected, and the others
-// take the work.
+// A backend server that announced a limit, or is cold, gets a request only with a permit.
+// Until one is available, requests go to the other servers; the server does not count as
+// full or ejected.
 
-// Limits tells which backend servers have a limit.
+// Limits provides the limits of backend servers.
 type Limits interface {
-	// Limited returns how many limits there are.
+	// Limited returns the number of limits.
 	Limited() int
-	// Opens returns when it is worth trying to send to a server by one of its keys; false if
-	// it has no such limit.
+	// Opens returns the earliest time at which a request to the server with the key may
+	// get a permit; false if there is no limit with this key.
 	Opens(server ratelimit.Key) (at time.Time, limit ratelimit.Known, limited bool)
 }
 
-// LimitBy sets who tells which servers have limits. It is to be called before all else.
+// LimitBy sets the source of the limits. It must be called before any other method.
 func (r *Registry) LimitBy(l Limits) { r.limits = l }
 
-// opens returns when a server with a limit may get a request; false if it has none.
+// opens returns when a server with a limit may get a request, and its limit; false if it
+// has none.
 func (r *Registry) opens(server *Server) (at time.Time, perSecond float64, limited bool) {
 	if r.limits == nil || r.limits.Limited() == 0 {
 		return time.Time{}, 0, false
@@ -44,54 +45,54 @@
 	return at, perSecond, limited
 }
 
-// mayTakeLimited reports whether a server that opens at a time may get a request of the
-// demand.
+// mayTakeLimited reports whether a server whose limit opens at a time may get a request
+// of the demand.
 func (d Demand) mayTakeLimited(opens, now time.Time) bool { return !d.Unlimited && !now.Before(opens) }
 
-// preferUnlimited drops the candidates that name a limit if there are others.
+// preferUnlimited drops the candidates that have a limit if there are others.
 func preferUnlimited(c []candidate) []candidate {
-	kept := c[:0:len(c)]
+	unlimited := c[:0:len(c)]
 	for _, one := range c {
 		if !one.limited {
-			kept = append(kept, one)
+			unlimited = append(unlimited, one)
 		}
 	}
-	if len(kept) == 0 {
+	if len(unlimited) == 0 {
 		return c
 	}
-	return kept
+	return unlimited
 }
 
-// Permits is what the servers of a service take, as far as they name limits or rest.
+// Permits is the capacity of a service's servers under limits and backoffs.
 type Permits struct {
-	// Open is how many servers may get a request now, with a limit or without.
+	// Open is the number of servers that may get a request now, with or without a limit.
 	Open int
-	// Next is when the next of the others may.
+	// Next is the time until the first of the others may get a request.
 	Next time.Duration
-	// Resting is how many servers rest, or return from a rest.
+	// Resting is the number of servers in a backoff or the ramp-up after one.
 	Resting int
-	// PerSecond is the sum of the limits and of what servers take that rest, infinite where one
-	// does neither.
+	// PerSecond is the sum of the limits and of the service rates of servers in a backoff
+	// or ramp-up; infinite if a server has none of these.
 	PerSecond float64
 }
 
-// Permits returns what the servers of a service take.
+// Permits returns the capacity of a service's servers under limits and backoffs.
 func (r *Registry) Permits(service string, now time.Time) Permits {
 	s := r.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out Permits
 	for _, server := range s.servers {
-		if !server.fit(now) {
+		if !server.eligible(now) {
 			continue
 		}
 		at, perSecond, limited := r.opens(server)
-		if back, resting := s.backAt(server, now); resting {
+		if back, inBackoff := s.backAt(server, now); inBackoff {
 			if back.After(at) {
 				at = back
 			}
 			if !limited {
-				perSecond = float64(max(1, server.Slots)) / s.usualStay().Seconds()
+				perSecond = float64(max(1, server.Slots)) / s.usualServiceTime().Seconds()
 			}
 			limited = true
 			out.Resting++
@@ -115,8 +116,8 @@
 	return out
 }
 
-// LimitEnded gives a server whose limit ended its requests back slowly: all gateways left
-// it out, and would send to it at once.
+// LimitEnded starts the slow start of a server whose limit ended: all gateways left the
+// server out, and would otherwise send requests to it at the same moment.
 func (r *Registry) LimitEnded(key ratelimit.Key, now time.Time) {
 	for _, s := range r.all() {
 		s.mu.Lock()
@@ -129,7 +130,8 @@
 	}
 }
 
-// IDOf returns the id of the listed server with a key, empty if there is none.
+// IDOf returns the id of the listed server that has a limit with the key, empty if there
+// is none.
 func (r *Registry) IDOf(key ratelimit.Key) string {
 	for _, s := range r.all() {
 		s.mu.Lock()
--- a/entry/balance/limit_test.go
+++ b/entry/balance/limit_test.go
@@ -12,7 +12,7 @@
 	"baywall.example/core/ratelimit"
 )
 
-// fixedLimits are limits by key with when they open.
+// fixedLimits are limits by key, with the times at which they open.
 type fixedLimits map[ratelimit.Key]struct {
 	opens     time.Time
 	perSecond float64
@@ -25,7 +25,8 @@
 	return one.opens, ratelimit.Known{Statement: ratelimit.Statement{Server: server, Limit: one.perSecond, Limited: limited}}, limited
 }
 
-// limitedRegistry has a server for each wait until it opens; below zero is one without a limit.
+// limitedRegistry returns a registry with one server per wait, which is the time until
+// its limit opens; a server with a negative wait has no limit.
 func limitedRegistry(waits ...time.Duration) (*Registry, map[string]time.Duration) {
 	r := NewRegistry(peerLoad{}, "", zerolog.Nop())
 	limits := fixedLimits{}
@@ -55,7 +56,7 @@
 		waits  []time.Duration // until each server may get a request
 		demand Demand
 		found  Availability
-		want   string // the only ones picked
+		want   string // ids of the servers that may be picked
 	}{
 		{"others are there", []time.Duration{time.Second, none, none}, Demand{}, Available, "bc"},
 		{"a permit may be there", []time.Duration{0, time.Second}, Demand{}, Available, "a"},
@@ -82,13 +83,13 @@
 				is.True(picked[string(id)])
 			}
 			for _, s := range r.shard("s").servers {
-				is.True(s.usable(start)) // it is neither full nor ejected
+				is.True(s.usable(start)) // neither rejecting nor ejected
 			}
 		})
 	}
 }
 
-func TestWhatTheServersOfAServiceTake(t *testing.T) {
+func TestPermitsOfAService(t *testing.T) {
 	is := is.New(t)
 	r, _ := limitedRegistry(2*time.Second, time.Second)
 	is.Equal(r.Permits("s", start), Permits{Next: time.Second, PerSecond: 4})
@@ -99,9 +100,10 @@
 	is.Equal(r.Permits("other", start), Permits{})
 }
 
-// A server that starts again under its id, or another one at its address, has named no limit;
-// one whose entry is missing for a while and is written anew is the same.
-func TestALimitBelongsToAnIncarnation(t *testing.T) {
+// A limit must not carry over to a server that restarted under the id, or to another
+// server at the address. It must stay if the entry of the server was missing for a while
+// and is written again.
+func TestALimitAppliesToOneIncarnation(t *testing.T) {
 	is := is.New(t)
 	key := func(change func(*Info)) ratelimit.Key {
 		info := Info{ID: "a", Service: "s", Address: "127.0.0.1:1", Started: 5}
@@ -115,8 +117,9 @@
 	is.Equal(key(func(i *Info) { i.Draining = true }), same)
 }
 
-// All gateways left the server out, and would send to it at once.
-func TestAServerWhoseLimitEndedGetsRequestsBackSlowly(t *testing.T) {
+// All gateways left the server out, so they would otherwise resume sending at the same
+// moment.
+func TestSlowStartAfterALimitEnds(t *testing.T) {
 	is := is.New(t)
 	r := registry(peerLoad{}, "a", "b")
 	a := r.shard("s").servers["a"]
--- a/entry/balance/pace.go
+++ b/entry/balance/pace.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// The ranks of a group make each pass of their engine together, so the pause
-// between two events of a stream is about one pass, the same on all of them. A
-// gateway measures it on the streams that it forwards, hears what the others
-// measured, and keeps new streams away from servers whose passes are too long for
-// a stream to be on time.
+// The ranks of a group execute each engine pass together, so the gap between two events
+// of a stream is about one pass, and the same on all ranks. A gateway measures the gap on
+// the streams that it forwards, receives the measurements of the other gateways, and
+// keeps new streams away from servers whose passes are too long for a stream to be on
+// time.
 
 const (
-	// gapWeight is the weight of the newest pause in the smoothed one: three
-	// passes make most of it.
+	// gapWeight is the weight of the newest gap in the smoothed one: the latest three
+	// passes dominate it.
 	gapWeight = 0.4
-	// gapLifetime is how long a pause counts after it was measured: demand
-	// shifts within seconds.
+	// gapLifetime is how long a measured gap is valid: demand changes within seconds.
 	gapLifetime = 800 * time.Millisecond
-	// standsFrom is the pause from which a server is taken to stand still: several
-	// times the longest passes with which streams are served at all.
-	standsFrom = 500 * time.Millisecond
-	// standsLifetime is how long that counts after the last caller that waited for it
-	// has left: without anybody who waits, nothing tells that it goes on.
-	standsLifetime = time.Second
-	// lateFrom and lateAt are the parts of the gap target between which a
-	// server's lateness rises from 0 to lateCost.
+	// stallThreshold is the gap from which a server counts as stalled. It is several
+	// times the longest pass at which streams are still served.
+	stallThreshold = 500 * time.Millisecond
+	// stallLifetime is for how long a server counts as stalled after the last waiting
+	// caller has left: without a waiting caller, the end of the stall cannot be observed.
+	stallLifetime = time.Second
+	// lateFrom and lateAt are the multiples of the gap target between which the addition
+	// to the load of a server rises from 0 to lateCost.
 	lateFrom, lateAt = 1.1, 1.5
-	// lateCost is what streams on a server whose passes are too long are worth in
-	// load: a server counts as if it were full.
+	// lateCost is added to the load of a server whose passes are too long for streams:
+	// the server counts as full.
 	lateCost = 1.0
 )
 
-// Pace is the state of a server's streams. It is safe for concurrent use.
+// Pace tracks the streams of a server and the gaps between their events. It is safe for
+// concurrent use.
 type Pace struct {
-	mu      sync.Mutex
-	gap     time.Duration // smoothed
-	at      time.Time     // of the latest event
-	streams int           // that have begun and not ended
-	waiting int           // that have been sent and not begun
-	since   time.Time     // when the first of these was sent
-	stood   time.Time     // when it was last known to stand still
+	mu        sync.Mutex
+	gap       time.Duration // smoothed
+	at        time.Time     // time of the latest event
+	streams   int           // streams that have begun and not ended
+	waiting   int           // streams that were sent and have not begun
+	since     time.Time     // when the first of the waiting streams was sent
+	stalledAt time.Time     // when it was last seen stalled
 }
 
-// Sent notes that a stream was sent to the server. Answered follows with its first
-// event, or its end without one.
+// Sent records that a stream was sent to the server. A call of Answered must follow on
+// its first event, or when it ends without one.
 func (p *Pace) Sent(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,14 +54,14 @@
 	p.waiting++
 }
 
-// Answered notes that a stream that was sent has begun, or ended without an event.
+// Answered records that a sent stream has begun, or ended without an event.
 func (p *Pace) Answered() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.waiting--
 }
 
-// Begun notes the first event of a stream.
+// Begun records the first event of a stream.
 func (p *Pace) Begun(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,11 +69,11 @@
 	p.at = now
 }
 
-// Event notes a further event, a pause after the one before it.
+// Event records a further event and the gap between it and the one before it.
 func (p *Pace) Event(gap time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	gap = min(gap, standsFrom/2) // once the server goes on, how long it stood says nothing
+	gap = min(gap, stallThreshold/2) // the length of a stall tells nothing about the gaps after it
 	if p.gap == 0 {
 		p.gap = gap
 	}
@@ -81,37 +81,37 @@
 	p.at = now
 }
 
-// Formed forgets how the server's group did before it was formed anew.
+// Formed discards the measurements from before the server's group was formed.
 func (p *Pace) Formed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.gap, p.stood = 0, time.Time{}
+	p.gap, p.stalledAt = 0, time.Time{}
 }
 
-// Ended notes the end of a stream that had begun.
+// Ended records the end of a stream that had begun.
 func (p *Pace) Ended() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.streams--
 }
 
-// Gap returns the pause between events that a stream has to expect, 0 = not
-// known. A pause that has not ended counts as soon as it is the longer one.
+// Gap returns the expected gap between events of a stream, 0 = unknown. A gap that has
+// not ended counts as soon as it exceeds the smoothed one.
 func (p *Pace) Gap(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	since := now.Sub(p.at)
 	if p.streams+p.waiting > 0 {
-		if silent := now.Sub(p.latest()); silent >= standsFrom {
-			p.stood = now
+		if silent := now.Sub(p.latest()); silent >= stallThreshold {
+			p.stalledAt = now
 			return silent
 		}
 	}
 	switch {
 	case p.streams > 0:
 		return max(p.gap, since)
-	case p.stood.After(p.at) && now.Sub(p.stood) < standsLifetime:
-		return standsFrom
+	case p.stalledAt.After(p.at) && now.Sub(p.stalledAt) < stallLifetime:
+		return stallThreshold
 	case since < gapLifetime:
 		return p.gap
 	default:
@@ -120,7 +120,7 @@
 	}
 }
 
-// latest returns since when a stream has been waited for in vain.
+// latest returns the time since which no event has arrived for the waiting streams.
 func (p *Pace) latest() time.Time {
 	if p.at.After(p.since) {
 		return p.at
@@ -128,41 +128,41 @@
 	return p.since
 }
 
-// pace returns the pause to expect on a usable server, as far as any gateway
-// knows.
-func (s *shard) pace(i int, now time.Time) time.Duration {
-	heard := s.peers[i].Gap
-	if heard >= standsFrom && now.Sub(s.usable[i].probation.formed) < foundPatience {
-		heard = 0 // that was before its group was formed
+// knownGap returns the expected gap on a usable server: the longest that any gateway
+// reports.
+func (s *shard) knownGap(i int, now time.Time) time.Duration {
+	reported := s.peers[i].Gap
+	if reported >= stallThreshold && now.Sub(s.usable[i].probation.formedAt) < recoveryReportMaxAge {
+		reported = 0 // reported before its group was formed
 	}
-	return max(heard, s.usable[i].Pace.Gap(now))
+	return max(reported, s.usable[i].Pace.Gap(now))
 }
 
-// longestPace returns the longest pace known of the usable servers that flow.
-func (s *shard) longestPace(now time.Time) time.Duration {
+// longestGap returns the longest known gap among the usable servers that are not stalled.
+func (s *shard) longestGap(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for i := range s.usable {
-		if gap := s.pace(i, now); gap < standsFrom {
+		if gap := s.knownGap(i, now); gap < stallThreshold {
 			longest = max(longest, gap)
 		}
 	}
 	return longest
 }
 
-// likelyPace returns the pace to expect on a usable server: the longest known where
-// nobody has a stream on it. While passes are long, streams would all go to the few
-// servers of which nothing is known: 31 of 117 to one of 63.
-func (s *shard) likelyPace(i int, now time.Time) time.Duration {
-	if own := s.pace(i, now); own > 0 {
-		return own
+// expectedGap returns the known gap on a usable server, or the longest known gap of the
+// service if no gateway has a stream on the server. Otherwise, while passes are long,
+// streams would all go to the few servers with an unknown gap: 31 of 117 streams went to
+// one of 63 servers.
+func (s *shard) expectedGap(i int, now time.Time) time.Duration {
+	if known := s.knownGap(i, now); known > 0 {
+		return known
 	}
-	return s.longest
+	return s.maxGap
 }
 
-// lateness returns what is added to a server's load since streams on it would be
-// late.
+// lateness returns the addition to a server's load if streams on it would be late.
 func (s *shard) lateness(i int, target time.Duration, now time.Time) float64 {
-	gap := s.pace(i, now)
+	gap := s.knownGap(i, now)
 	if target <= 0 || gap == 0 {
 		return 0
 	}
--- a/entry/balance/pace_test.go
+++ b/entry/balance/pace_test.go
@@ -11,8 +11,8 @@
 	"baywall.example/core/cluster"
 )
 
-// A prompt that is begun while passes are long makes them longer still for all
-// streams of the group. But passes that stay long are no reason to wait.
+// Processing a prompt while passes are long makes them even longer for all streams of the
+// group. If passes stay long, holding streams back longer does not help.
 func TestStreamsAreHeldBackForAShortTimeWhilePassesAreLong(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a")
@@ -34,19 +34,19 @@
 	is.Equal(availability(stream, start), Available)
 	long(140*time.Millisecond, start)
 	is.Equal(availability(stream, start), AllBusy)
-	patientNoMore := stream
-	patientNoMore.HoldAt = 0
-	is.Equal(availability(patientNoMore, start), Available)
+	withoutHold := stream
+	withoutHold.HoldAt = 0
+	is.Equal(availability(withoutHold, start), Available)
 	later := start.Add(holdTime)
 	long(140*time.Millisecond, later)
-	is.Equal(availability(stream, later), Available) // it does not get better
+	is.Equal(availability(stream, later), Available) // passes did not get shorter
 	long(60*time.Millisecond, later)
 	is.Equal(availability(stream, later), Available)
 	long(140*time.Millisecond, later)
-	is.Equal(availability(stream, later), AllBusy) // passes became long once more
+	is.Equal(availability(stream, later), AllBusy) // passes became long again
 }
 
-// ranks returns a registry of three servers of which those at the addresses are slow.
+// ranks returns a registry of three servers, of which those in slow have slow ranks.
 func ranks(slow slowRanks) *Registry {
 	r := NewRegistry(slow, "", zerolog.Nop())
 	var list []Info
@@ -57,8 +57,8 @@
 	return r
 }
 
-// A slow rank makes its whole group wait, the more the more it has to do.
-func TestASlowRankGetsNoStreamsWhileMostAreAsUsual(t *testing.T) {
+// A slow rank makes its whole group wait, and the longer the more requests it has.
+func TestASlowRankGetsNoStreamsWhileMostRanksAreNotSlow(t *testing.T) {
 	is := is.New(t)
 	stream := Demand{Service: "s", GapTarget: 120 * time.Millisecond, MostWait: time.Millisecond}
 	one := ranks(slowRanks{cluster.EngineKey("127.0.0.1:1"): 3.3})
@@ -72,9 +72,9 @@
 	is.True(one.Spared(servers["0"]))
 	is.True(!one.Spared(servers["1"]))
 	_, found := one.Pick(stream, start)
-	is.Equal(found, AllBusy) // rather than making all of them late
+	is.Equal(found, AllBusy) // rather than making all streams late
 	c, found := one.Pick(Demand{Service: "s", MostWait: time.Millisecond}, start)
-	is.Equal(found, Available) // what is no stream does not wait for passes
+	is.Equal(found, Available) // a request that is not a stream does not depend on the gap
 	is.Equal(c.Server.ID, "0")
 
 	all := ranks(slowRanks{cluster.EngineKey("127.0.0.1:1"): 3, cluster.EngineKey("127.0.0.1:2"): 3})
@@ -82,10 +82,10 @@
 		_, found := all.Pick(stream, start)
 		is.Equal(found, Available)
 	}
-	is.True(!all.Spared(all.shard("s").servers["0"])) // there is no better place
+	is.True(!all.Spared(all.shard("s").servers["0"])) // no server is better
 }
 
-func TestAnAlmostUsualRankGetsFewerStreams(t *testing.T) {
+func TestASlightlySlowRankGetsFewerStreams(t *testing.T) {
 	is := is.New(t)
 	r := ranks(slowRanks{cluster.EngineKey("127.0.0.1:1"): 1.1})
 	counts := make(map[string]int)
@@ -97,9 +97,10 @@
 	is.True(counts["0"] < 5)
 }
 
-// A group that stands still is known by the streams that wait for it, also when those
-// that had begun are gone, and for a short time when nobody waits any more.
-func TestAServerThatStandsStill(t *testing.T) {
+// A stalled group is detected by the streams that wait for their first event, even if all
+// earlier streams have ended. It stays detected for a short time after the last of them
+// left.
+func TestGapOfAStalledServer(t *testing.T) {
 	is := is.New(t)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	var p Pace
@@ -108,18 +109,18 @@
 	p.Sent(at(100))
 	p.Ended() // its caller left
 	is.Equal(p.Gap(at(300)), 60*time.Millisecond)
-	is.True(p.Gap(at(700)) >= standsFrom)
-	p.Answered() // without an event
-	is.Equal(p.Gap(at(1000)), standsFrom)
-	is.Equal(p.Gap(at(700).Add(standsLifetime)), time.Duration(0)) // to be tried again
+	is.True(p.Gap(at(700)) >= stallThreshold)
+	p.Answered() // it ended without an event
+	is.Equal(p.Gap(at(1000)), stallThreshold)
+	is.Equal(p.Gap(at(700).Add(stallLifetime)), time.Duration(0)) // to be tried again
 	p.Begun(at(5000))
 	p.Event(5*time.Second, at(5000))
-	is.True(p.Gap(at(5010)) < standsFrom) // it goes on
+	is.True(p.Gap(at(5010)) < stallThreshold) // the stall has ended
 }
 
-// What is sent to a group that stands still is lost to callers that leave after two
-// seconds; so they are told when to come back.
-func TestNothingIsSentToAServiceThatStandsStill(t *testing.T) {
+// Streams sent to a stalled group are lost, because callers leave after two seconds. They
+// have to be refused with a retry time instead.
+func TestNoStreamsAreSentToAStalledService(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b", "c")
 	servers := r.shard("s").servers
@@ -127,27 +128,27 @@
 	servers["a"].Pace.Sent(start)
 	servers["b"].Pace.Sent(start)
 	c, found := r.Pick(stream, start)
-	is.Equal(found, Available) // it has only just been asked
+	is.Equal(found, Available) // the waiting time is still below the threshold
 	c.Release()
-	later := start.Add(standsFrom)
+	later := start.Add(stallThreshold)
 	_, found = r.Pick(stream, later)
-	is.Equal(found, Standing) // although nothing is known of c
+	is.Equal(found, Standing) // although the gap of c is unknown
 	_, found = r.Pick(Demand{Service: "s"}, later)
-	is.Equal(found, Available) // no stream
+	is.Equal(found, Available) // not a stream
 	servers["a"].Pace.Begun(later)
 	servers["a"].Pace.Event(60*time.Millisecond, later)
 	c, found = r.Pick(stream, later)
-	is.Equal(found, Available) // one of two goes on
+	is.Equal(found, Available) // one of the two is no longer stalled
 	is.True(c.Server.ID != "b")
 }
 
-// A process that has just started has seen no request end; without a guess it would
-// let any number queue.
+// A gateway that has just started knows no service time. Without an assumed one, it would
+// let any number of requests queue.
 func TestQueuesAreBoundedBeforeAnyRequestHasEnded(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a")
 	d := Demand{Service: "s", MostWait: 250 * time.Millisecond, Occupies: 2 * time.Second}
-	for range 13 { // 12 slots, and one that waits for 167 ms
+	for range 13 { // 12 in the slots, and one that waits for 167 ms
 		_, found := r.Pick(d, start)
 		is.Equal(found, Available)
 	}
--- a/entry/balance/probation_test.go
+++ b/entry/balance/probation_test.go
@@ -16,10 +16,12 @@
 	for _, server := range r.shard("s").servers {
 		r.Rejected(server, start)
 	}
-	is.Equal(r.Load("s", start.Add(longestFull)).Servers, 0)
+	is.Equal(r.Load("s", start.Add(maxOverloadPause)).Servers, 0)
 	is.Equal(r.Load("s", start.Add(suspectTime+time.Second)).Servers, 3)
 }
 
+// After a probation, late requests get a growing share of the slots. On-time requests arrive at
+// their usual rate, without a backlog, and are bounded by the length of passes.
 func TestLateRequestsStartSlowlyAfterAProbation(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b", "c")
@@ -52,7 +54,7 @@
 	streams.GapTarget, lateStreams.GapTarget = 120*time.Millisecond, 120*time.Millisecond
 	half := start.Add(slowStartTime / 2)
 	_, found = r.Pick(lateStreams, half)
-	is.Equal(found, AllBusy) // no pass is known yet
+	is.Equal(found, AllBusy) // the gap is not known yet
 	a.Pace.Begun(half)
 	a.Pace.Event(60*time.Millisecond, half)
 	c, found := r.Pick(lateStreams, half)
@@ -77,7 +79,9 @@
 	is.Equal(found, Available)
 }
 
-func TestAServerOfUnknownPaceIsTakenToBeAsSlowAsTheOthers(t *testing.T) {
+// While passes are long, servers without a stream must not be preferred to the others of their
+// group: otherwise all streams would go to these few.
+func TestAnUnknownGapIsAssumedToBeTheLongestKnown(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b")
 	for _, server := range r.shard("s").servers {
@@ -85,7 +89,7 @@
 	}
 	d := Demand{Service: "s", GapTarget: 120 * time.Millisecond, MostWait: 200 * time.Millisecond}
 	_, found := r.Pick(d, start)
-	is.Equal(found, Available) // nothing is known
+	is.Equal(found, Available) // no gap is known
 	a := r.shard("s").servers["a"]
 	a.Pace.Begun(start)
 	a.Pace.Event(110*time.Millisecond, start)
@@ -94,22 +98,23 @@
 	d.HoldAt = 90 * time.Millisecond
 	a.Pace.Ended()
 	_, found = r.Pick(d, start.Add(slowStartTime))
-	is.Equal(found, Available) // nothing lately
+	is.Equal(found, Available) // the known gap has expired
 	a.Pace.Begun(start.Add(slowStartTime))
 	a.Pace.Event(110*time.Millisecond, start.Add(slowStartTime))
 	_, found = r.Pick(d, start.Add(slowStartTime))
 	is.Equal(found, AllBusy)
 }
 
-func TestLateRequestsLeavePlacesForPunctualOnes(t *testing.T) {
+// Late requests get the slots that on-time arrivals do not need, and release them.
+func TestLateRequestsLeaveSlotsForOnTimeOnes(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a") // 12 slots
 	now := start
-	for range 20 { // 4 a second
+	for range 20 { // 4 per second
 		r.Arrived("s", now)
 		now = now.Add(250 * time.Millisecond)
 	}
-	late := Demand{Service: "s", Late: true, Occupies: 2 * time.Second} // 8 of them are there at a time
+	late := Demand{Service: "s", Late: true, Occupies: 2 * time.Second} // 8 of the 12 slots are needed by on-time requests
 	var taken []Choice
 	for {
 		c, found := r.Pick(late, now)
@@ -120,9 +125,9 @@
 		taken = append(taken, c)
 	}
 	is.Equal(len(taken), 4)
-	punctual := Demand{Service: "s", MostWait: time.Millisecond, Occupies: 2 * time.Second}
+	onTime := Demand{Service: "s", MostWait: time.Millisecond, Occupies: 2 * time.Second}
 	for range 8 {
-		_, found := r.Pick(punctual, now)
+		_, found := r.Pick(onTime, now)
 		is.Equal(found, Available)
 	}
 	taken[0].Release()
@@ -130,7 +135,7 @@
 	is.Equal(found, Available)
 }
 
-// formedGroups are gateways that were told by agents when groups were formed.
+// formedGroups reports one formation time for all groups.
 type formedGroups struct {
 	peerLoad
 	at *time.Time
@@ -142,7 +147,9 @@
 	}
 }
 
-func TestAFormedGroupGetsRequestsAtOnce(t *testing.T) {
+// Servers whose agents report that their group was formed get requests immediately: neither a
+// successful probe nor the end of earlier measurements is needed.
+func TestAFormedGroupGetsRequestsImmediately(t *testing.T) {
 	is := is.New(t)
 	var formed time.Time
 	r := NewRegistry(formedGroups{at: &formed}, "", zerolog.Nop())
@@ -150,26 +157,26 @@
 	d := Demand{Service: "s", GapTarget: 120 * time.Millisecond, MostWait: 200 * time.Millisecond}
 	for _, server := range r.shard("s").servers {
 		server.Pace.Sent(start.Add(-time.Second))
-		is.True(server.Pace.Gap(start) >= standsFrom)
+		is.True(server.Pace.Gap(start) >= stallThreshold)
 		server.Pace.Answered()
 		r.Rejected(server, start)
 	}
-	_, found := r.Pick(d, start.Add(firstFull))
+	_, found := r.Pick(d, start.Add(minOverloadPause))
 	is.Equal(found, Unavailable)
-	formed = start.Add(-time.Minute) // before they turned requests away
-	_, found = r.Pick(d, start.Add(firstFull))
+	formed = start.Add(-time.Minute) // before the servers rejected requests
+	_, found = r.Pick(d, start.Add(minOverloadPause))
 	is.Equal(found, Unavailable)
-	formed = start.Add(firstFull)
-	_, found = r.Pick(d, start.Add(firstFull))
+	formed = start.Add(minOverloadPause)
+	_, found = r.Pick(d, start.Add(minOverloadPause))
 	is.Equal(found, Available)
 	for _, server := range r.shard("s").servers {
-		r.Rejected(server, start.Add(2*firstFull)) // it was wrong after all
+		r.Rejected(server, start.Add(2*minOverloadPause)) // requests are still rejected
 	}
-	_, found = r.Pick(d, start.Add(4*firstFull))
+	_, found = r.Pick(d, start.Add(4*minOverloadPause))
 	is.Equal(found, Unavailable)
 }
 
-// servedByPeers are servers to which another gateway's streams flow.
+// servedByPeers reports streams of another gateway to the servers.
 type servedByPeers struct {
 	peerLoad
 	gap     time.Duration
--- a/entry/balance/registry.go
+++ b/entry/balance/registry.go
@@ -13,13 +13,13 @@
 	"baywall.example/core/source"
 )
 
-// Registry holds the backend servers of all services. It is safe for
-// concurrent use.
+// Registry holds the backend servers of all services. It is safe for concurrent use.
 type Registry struct {
 	log    zerolog.Logger
 	peers  PeerLoad
-	limits Limits // nil = servers name none
-	// notices is what is known of each incarnation, also of those that are not listed any more.
+	limits Limits // nil = no server has a limit
+	// notices holds what each incarnation announced, also for those that are no longer
+	// listed.
 	notices *notice.Table
 	zone    string // of this gateway
 
@@ -28,42 +28,42 @@
 	evacuated map[string]bool // availability zones
 }
 
-// PeerLoad tells what the other gateways have in flight.
+// PeerLoad provides the load of the other gateways and what they measured.
 type PeerLoad interface {
 	// Load fills out with the load that peers put on each of the servers.
 	Load(servers []uint32, out []cluster.Load)
-	// Pace fills out with the paces of ranks by engine key, 1 = as usual.
+	// Pace fills out with the slowdown of ranks by engine key, 1 = normal speed.
 	Pace(engines []uint32, out []float64)
-	// Formed fills out with when the groups of ranks were formed by engine key, zero = not
-	// lately.
+	// Formed fills out with the times at which the groups of ranks were formed, by engine
+	// key; zero = not recently.
 	Formed(engines []uint32, out []time.Time)
 	// Members returns the number of gateways, this one included.
 	Members() int
-	// Staleness returns how old what peers said may be.
+	// Staleness returns the maximum age of the reports of peers.
 	Staleness() time.Duration
 }
 
-// shard is one service's servers.
+// shard holds the servers of one service.
 type shard struct {
-	mu      sync.Mutex
-	servers map[string]*Server
-	keys    []uint32       // scratch
-	peers   []cluster.Load // scratch
-	engines []uint32       // scratch
-	paces   []float64      // scratch
-	slow    int            // usable servers with a pace from sparedFrom
-	longest time.Duration  // pause between events of the usable servers that flow
-	usable  []*Server
-	// candidates is scratch of Pick.
+	mu        sync.Mutex
+	servers   map[string]*Server
+	keys      []uint32       // scratch
+	peers     []cluster.Load // scratch
+	engines   []uint32       // scratch
+	slowdowns []float64      // scratch
+	slow      int            // usable servers with a slowdown of at least slowAt
+	maxGap    time.Duration  // longest gap among usable servers that are not stalled
+	usable    []*Server
+	// candidates is scratch space of Pick.
 	candidates []candidate
-	arrivals   arrivals // looks for a server
-	punctual   arrivals // requests that can be on time
+	arrivals   arrivals // calls of Pick
+	onTime     arrivals // requests that can still be on time
 	late       atomic.Int32
-	// occupied is for how long a request occupies a slot, smoothed; 0 = not
-	// known.
-	occupied       time.Duration
-	probes         probeBudget
-	probationSince time.Time // zero = not on probation
+	// meanServiceTime is the smoothed time for which a request occupies a slot; 0 =
+	// unknown.
+	meanServiceTime time.Duration
+	probes          probeBudget
+	probationSince  time.Time // zero = not on probation
 }
 
 // NewRegistry returns the empty registry of a gateway in an availability zone.
@@ -87,9 +87,9 @@
 	return s
 }
 
-// Update takes over a full list. Servers that are missing are kept for the time of their
-// absence: it is over zero where the source has been away until now.
-func (r *Registry) Update(list []Info, at source.Position, absence time.Duration, now time.Time) {
+// Update applies a full list. Servers that are missing from it are retained for the grace
+// period gracePeriod, which is above zero if the source was unavailable until now.
+func (r *Registry) Update(list []Info, at source.Position, gracePeriod time.Duration, now time.Time) {
 	byService := make(map[string][]Info)
 	for _, info := range list {
 		byService[info.Service] = append(byService[info.Service], info)
@@ -102,13 +102,13 @@
 	}
 	r.mu.RUnlock()
 	for service, infos := range byService {
-		r.updateShard(r.shard(service), infos, at, absence, now)
+		r.updateShard(r.shard(service), infos, at, gracePeriod, now)
 	}
 	r.replaceOlder(list)
 }
 
-// replaceOlder takes the servers out at whose address a later one is listed: a
-// server that crashed stays listed until its lease ends.
+// replaceOlder takes servers out of use if a later one is listed at the same address: a
+// server that crashed stays listed until its lease expires.
 func (r *Registry) replaceOlder(list []Info) {
 	latest := make(map[string]Info, len(list))
 	for _, info := range list {
@@ -130,7 +130,7 @@
 	}
 }
 
-func (r *Registry) updateShard(s *shard, infos []Info, at source.Position, absence time.Duration, now time.Time) {
+func (r *Registry) updateShard(s *shard, infos []Info, at source.Position, gracePeriod time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	listed := make(map[string]bool, len(infos))
@@ -149,24 +149,24 @@
 			continue
 		}
 		old.missingUntil = time.Time{}
-		if info.Draining && old.said.Leave(notice.FromEntry) {
+		if info.Draining && old.noticeState.Leave(notice.FromEntry) {
 			r.log.Info().Str("server", info.ID).Str("source", string(notice.FromEntry)).
 				Uint64("era", at.Era).Uint64("revision", at.Revision).Msg("backend server drains")
 		}
 	}
 	for id, server := range s.servers {
 		if !listed[id] {
-			r.miss(s, server, at, absence, now)
+			r.handleMissing(s, server, at, gracePeriod, now)
 		}
 	}
 }
 
-// miss handles a server that is no longer listed.
-func (r *Registry) miss(s *shard, server *Server, at source.Position, absence time.Duration, now time.Time) {
-	if server.missingUntil.IsZero() && absence > 0 && !server.drains() {
-		server.missingUntil = now.Add(absence)
-		r.log.Info().Str("server", server.ID).Uint64("era", at.Era).Uint64("revision", at.Revision).Dur("for", absence).
-			Msg("backend server missing after the source was away")
+// handleMissing handles a server that is no longer listed.
+func (r *Registry) handleMissing(s *shard, server *Server, at source.Position, gracePeriod time.Duration, now time.Time) {
+	if server.missingUntil.IsZero() && gracePeriod > 0 && !server.drains() {
+		server.missingUntil = now.Add(gracePeriod)
+		r.log.Info().Str("server", server.ID).Uint64("era", at.Era).Uint64("revision", at.Revision).Dur("for", gracePeriod).
+			Msg("backend server missing after an outage of the source")
 	}
 	if now.Before(server.missingUntil) {
 		return
@@ -174,32 +174,32 @@
 	delete(s.servers, server.ID)
 	r.remove(server, now)
 	r.log.Info().Str("server", server.ID).Str("service", server.Service).Uint64("era", at.Era).Uint64("revision", at.Revision).
-		Msg("backend server gone")
+		Msg("backend server no longer listed")
 }
 
-// remove ends the use of a server that is not listed any more.
+// remove closes a server that is no longer listed.
 func (r *Registry) remove(server *Server, now time.Time) {
 	server.gone = true
 	server.Pool.Close()
 	r.notices.Unlist(server.noticeKey(), now)
 }
 
-// Expire removes servers that were missing for too long.
+// Expire removes missing servers whose grace period has ended.
 func (r *Registry) Expire(at source.Position, now time.Time) {
 	r.notices.Expire(now)
 	for _, s := range r.all() {
 		s.mu.Lock()
 		for _, server := range s.servers {
 			if !server.missingUntil.IsZero() {
-				r.miss(s, server, at, 0, now)
+				r.handleMissing(s, server, at, 0, now)
 			}
 		}
 		s.mu.Unlock()
 	}
 }
 
-// At returns the backend server that is listed at the address, the latest one where there are
-// several; nil if there is none.
+// At returns the backend server that is listed at the address, the latest one if there
+// are several, or nil if there is none.
 func (r *Registry) At(address string) *Server {
 	var found *Server
 	for _, s := range r.all() {
@@ -242,36 +242,35 @@
 // Load is the state of a service's servers as one gateway sees it.
 type Load struct {
 	Servers  int // that may take requests
-	AtLimit  int // of which this many are left out since they are at the limit that they name
-	Resting  int // that are left out since they rest, or return from a rest
-	Slots    int // of these together
-	InFlight int // requests of all gateways to these
-	Own      int // of which this gateway's
+	AtLimit  int // those of Servers that are left out because they reached their limit
+	Resting  int // servers left out because of a backoff or the ramp-up after it
+	Slots    int // total of Servers
+	InFlight int // requests of all gateways to Servers
+	Own      int // part of InFlight that is from this gateway
 }
 
-// Choice is a picked server with the load that decided.
+// Choice is a picked server with the load that the pick was based on.
 type Choice struct {
 	Server *Server
-	// InFlight is the number of requests of all gateways to the server, this
-	// one not counted.
+	// InFlight is the number of requests of all gateways to the server, excluding this
+	// one.
 	InFlight int
-	// Pace is the pause between events that a stream has to expect, 0 = not
-	// known.
+	// Pace is the expected gap between events of a stream, 0 = unknown.
 	Pace time.Duration
 	Load Load
 
-	late      *atomic.Int32 // late requests of this gateway to the service, nil if this is none
-	returning *atomic.Int32 // requests to a server since its rest, nil if it is no bound
+	late   *atomic.Int32 // this gateway's late requests to the service, nil if the request is not late
+	rampUp *atomic.Int32 // requests sent during the ramp-up after a backoff, nil if there is none
 }
 
-// Release ends the use of the choice.
+// Release ends the use of the choice. It must be called once.
 func (c Choice) Release() {
 	c.Server.inFlight.Add(-1)
 	if c.late != nil {
 		c.late.Add(-1)
 	}
-	if c.returning != nil {
-		c.returning.Add(-1)
+	if c.rampUp != nil {
+		c.rampUp.Add(-1)
 	}
 }
 
@@ -283,34 +282,34 @@
 	return r.refresh(s, now)
 }
 
-// refresh fills the shard's scratch lists with the servers that may take
-// requests and what peers have in flight to them.
+// refresh fills the shard's scratch lists with the servers that may take requests and
+// with the requests that peers have in flight to them.
 func (r *Registry) refresh(s *shard, now time.Time) Load {
-	r.hearPeers(s, now)
+	r.applyPeerReports(s, now)
 	s.usable, s.keys, s.engines = s.usable[:0], s.keys[:0], s.engines[:0]
 	probation := s.onProbation(now)
-	resting := 0
+	inBackoff := 0
 	for _, server := range s.servers {
-		if server.fit(now) && server.Rests(now) {
-			resting++
+		if server.eligible(now) && server.Rests(now) {
+			inBackoff++
 		}
 		if server.usable(now) && server.trusted(probation, now) {
 			s.usable = append(s.usable, server)
 			s.keys = append(s.keys, server.Key)
-			s.engines = append(s.engines, server.engine)
+			s.engines = append(s.engines, server.engineKey)
 		}
 	}
 	s.peers = append(s.peers[:0], make([]cluster.Load, len(s.keys))...)
 	r.peers.Load(s.keys, s.peers)
-	s.paces = append(s.paces[:0], make([]float64, len(s.keys))...)
-	r.peers.Pace(s.engines, s.paces)
+	s.slowdowns = append(s.slowdowns[:0], make([]float64, len(s.keys))...)
+	r.peers.Pace(s.engines, s.slowdowns)
 	s.slow = 0
-	for _, pace := range s.paces {
-		if pace >= sparedFrom {
+	for _, slowdown := range s.slowdowns {
+		if slowdown >= slowAt {
 			s.slow++
 		}
 	}
-	load := Load{Servers: len(s.usable), Resting: resting}
+	load := Load{Servers: len(s.usable), Resting: inBackoff}
 	for i, server := range s.usable {
 		own := server.InFlight()
 		load.Slots += server.Slots
@@ -320,7 +319,7 @@
 	return load
 }
 
-// Succeeded notes a whole answer of the server.
+// Succeeded records a complete answer of the server.
 func (r *Registry) Succeeded(server *Server) {
 	s := r.shard(server.Service)
 	s.mu.Lock()
@@ -328,19 +327,19 @@
 	server.health.success()
 }
 
-// Rejected notes a request that the server turned away as full. For a short time
-// it gets no other.
+// Rejected records that the server rejected a request as full. The server gets no further
+// request for a short time.
 func (r *Registry) Rejected(server *Server, now time.Time) {
 	s := r.shard(server.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	server.health.trial = false
-	server.probation.accepted, server.probation.good, server.probation.rejected = false, false, now
+	server.probation.accepted, server.probation.probePassed, server.probation.rejected = false, false, now
 	server.full.rejected(now)
 }
 
-// Released notes a request that ended without a verdict on the server, such as
-// one whose caller left.
+// Released records a request that ended without a result for the server, such as one
+// whose caller left.
 func (r *Registry) Released(server *Server) {
 	s := r.shard(server.Service)
 	s.mu.Lock()
@@ -348,7 +347,7 @@
 	server.health.trial = false
 }
 
-// Failed notes a failed request to the server, which may eject it.
+// Failed records a failed request to the server, which may eject it.
 func (r *Registry) Failed(server *Server, reason string, now time.Time) {
 	s := r.shard(server.Service)
 	s.mu.Lock()
@@ -364,9 +363,9 @@
 	}
 }
 
-// Ended notes that the server's process has ended: its host refuses connections. It gets
-// nothing for the length of a first ejection, whatever else is ejected: to try it again
-// costs a refused connection only.
+// Ended records that the server's process has ended: its host refuses connections. The
+// server gets nothing for the length of a first ejection, even if many others are
+// ejected: trying it again costs no more than a refused connection.
 func (r *Registry) Ended(server *Server, now time.Time) {
 	s := r.shard(server.Service)
 	s.mu.Lock()
@@ -375,34 +374,35 @@
 		return
 	}
 	server.health = health{ejections: server.health.ejections, until: now.Add(firstEjection)}
-	server.probation.accepted, server.probation.good = false, false
+	server.probation.accepted, server.probation.probePassed = false, false
 	r.log.Warn().Str("server", server.ID).Str("service", server.Service).Str("reason", "ended").
 		Dur("for", firstEjection).Msg("backend server ejected")
 }
 
-// SaysLeaving notes that the server said in an answer that it leaves. It gets nothing new, whatever
-// entries of it say.
+// SaysLeaving records that the server announced in an answer that it drains. It gets no
+// new requests, whatever its entries state.
 func (r *Registry) SaysLeaving(server *Server) {
-	if server.said.Leave(notice.FromAnswer) {
+	if server.noticeState.Leave(notice.FromAnswer) {
 		r.log.Info().Str("server", server.ID).Str("service", server.Service).Str("source", string(notice.FromAnswer)).Msg("backend server drains")
 	}
 }
 
-// Errors of Admits.
+// Errors returned by Admits.
 var (
-	ErrLeaving = eris.New("balance: the backend server takes nothing new")
-	ErrResting = eris.New("balance: the backend server rests")
+	ErrLeaving = eris.New("balance: backend server takes no new requests")
+	ErrResting = eris.New("balance: backend server is in backoff")
 )
 
-// Admits reports with an error why the server is not to be sent a request any more that was
-// meant for it: ErrLeaving if it is not listed, leaves, its availability zone is evacuated or
-// another one is known to be at its address, ErrResting if it rests.
+// Admits returns an error if a request that was already assigned to the server must no
+// longer be sent to it: ErrLeaving if the server is no longer listed, drains, is in an
+// evacuated availability zone or was replaced at its address, and ErrResting during its
+// backoff.
 func (r *Registry) Admits(server *Server, now time.Time) error {
 	s := r.shard(server.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case server.leaves() || server.gone:
+	case server.withdrawn() || server.gone:
 		return ErrLeaving
 	case server.Rests(now):
 		return ErrResting
@@ -411,8 +411,8 @@
 	}
 }
 
-// Replaced notes that another backend server answers at the server's address.
-// It takes no more requests; the list will say what took its place.
+// Replaced records that another backend server answers at the server's address. The
+// server takes no more requests; a later list will name its replacement.
 func (r *Registry) Replaced(server *Server) {
 	s := r.shard(server.Service)
 	s.mu.Lock()
--- a/entry/balance/registry_test.go
+++ b/entry/balance/registry_test.go
@@ -12,16 +12,16 @@
 	"baywall.example/core/source"
 )
 
-// at is a position of the list.
+// at returns a source position with the revision.
 func at(revision uint64) source.Position { return source.Position{Revision: revision} }
 
-// absence is for how long a server that is missing after an outage may be on its way back.
-const absence = 1500 * time.Millisecond
+// gracePeriod is the grace period of servers that are missing after an outage of the source.
+const gracePeriod = 1500 * time.Millisecond
 
 // peerLoad is a fixed load of other gateways.
 type peerLoad map[uint32]int
 
-// slowRanks are the paces of ranks by engine key, with no load of peers.
+// slowRanks are the slowdowns of ranks by engine key, without load of peers.
 type slowRanks map[uint32]float64
 
 func (slowRanks) Load([]uint32, []cluster.Load) {}
@@ -76,15 +76,15 @@
 	return c
 }
 
-// pickFrom picks any server but those excluded.
+// pickFrom picks any server except the excluded ones.
 func pickFrom(r *Registry, exclude map[string]bool, now time.Time) (Choice, bool) {
 	c, found := r.Pick(Demand{Service: "s", Exclude: exclude}, now)
 	return c, found == Available
 }
 
-// A backend server that starts again under its id is another one: nothing that is known
-// of the one before holds.
-func TestAServerThatStartsAgainUnderItsIDIsANewOne(t *testing.T) {
+// A backend server that restarts under its id is another incarnation. Nothing that was
+// recorded for the previous one applies to it.
+func TestARestartedServerIsANewIncarnation(t *testing.T) {
 	is := is.New(t)
 	r := NewRegistry(peerLoad(nil), "", zerolog.Nop())
 	info := Info{ID: "a", Service: "s", Address: "127.0.0.1:1", Slots: 12, Started: 1000}
@@ -93,13 +93,13 @@
 	r.Replaced(old)
 	_, found := r.Pick(Demand{Service: "s"}, start)
 	is.Equal(found, Unavailable)
-	r.Update([]Info{info}, at(2), 0, start) // the same one
+	r.Update([]Info{info}, at(2), 0, start) // the same incarnation
 	is.True(r.shard("s").servers["a"] == old)
 	info.Started = 2000
 	r.Update([]Info{info}, at(3), 0, start)
 	is.True(r.shard("s").servers["a"] != old)
 	is.Equal(pick(t, r, start).Server.ID, "a")
-	r.Replaced(old) // an answer to a request from before
+	r.Replaced(old) // a late answer to a request sent before the restart
 	is.Equal(pick(t, r, start).Server.ID, "a")
 }
 
@@ -114,7 +114,7 @@
 	is.Equal(r.Load("s", start).InFlight, 4)
 }
 
-func TestDrainingAndGoneServersTakeNothing(t *testing.T) {
+func TestDrainingAndUnlistedServersGetNoRequests(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b")
 	list := infos("a", "b")
@@ -128,16 +128,16 @@
 	is.True(!ok)
 }
 
-func TestAServerMissingAfterAnOutageIsKeptForAWhile(t *testing.T) {
+func TestAServerMissingAfterAnOutageIsRetainedForTheGracePeriod(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b")
-	r.Update(infos("a"), at(2), absence, start)
+	r.Update(infos("a"), at(2), gracePeriod, start)
 	is.Equal(r.Load("s", start).Servers, 2)
 	r.Update(infos("a", "b"), at(3), 0, start.Add(time.Second)) // listed again
 	r.Expire(at(3), start.Add(time.Minute))
 	is.Equal(r.Load("s", start).Servers, 2)
-	r.Update(infos("a"), at(4), absence, start)
-	r.Expire(at(4), start.Add(absence+time.Millisecond))
+	r.Update(infos("a"), at(4), gracePeriod, start)
+	r.Expire(at(4), start.Add(gracePeriod+time.Millisecond))
 	is.Equal(r.Load("s", start).Servers, 1)
 }
 
@@ -152,11 +152,11 @@
 	is.Equal(r.Load("s", start).Servers, 1)
 	later := start.Add(firstEjection + time.Millisecond)
 	trial, ok := pickFrom(r, map[string]bool{"b": true}, later)
-	is.True(ok) // one request tries it
+	is.True(ok) // one request is sent as a trial
 	_, ok = pickFrom(r, map[string]bool{"b": true}, later)
 	is.True(!ok) // and only one
 	r.Failed(trial.Server, "test", later)
-	is.Equal(r.Load("s", later.Add(firstEjection+time.Millisecond)).Servers, 1) // twice as long
+	is.Equal(r.Load("s", later.Add(firstEjection+time.Millisecond)).Servers, 1) // the second ejection is twice as long
 	again, ok := pickFrom(r, map[string]bool{"b": true}, later.Add(2*firstEjection+time.Millisecond))
 	is.True(ok)
 	r.Succeeded(again.Server)
@@ -179,7 +179,7 @@
 	is.Equal(r.Load("s", start).Servers, 2)
 }
 
-func TestAMixedServerIsEjectedByItsRate(t *testing.T) {
+func TestAServerIsEjectedByItsFailureRate(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b")
 	a, _ := pickFrom(r, map[string]bool{"b": true}, start)
@@ -193,12 +193,12 @@
 	is.Equal(r.Load("s", start).Servers, 1)
 }
 
-func TestAReplacedServerTakesNothingUntilItIsListedAnew(t *testing.T) {
+func TestAReplacedServerGetsNoRequestsUntilItIsListedAgain(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b")
 	a, _ := pickFrom(r, map[string]bool{"b": true}, start)
 	r.Replaced(a.Server)
-	r.Update(infos("a", "b"), at(2), 0, start) // a list from before
+	r.Update(infos("a", "b"), at(2), 0, start) // a list from before the replacement
 	for range 4 {
 		is.Equal(pick(t, r, start).Server.ID, "b")
 	}
@@ -206,37 +206,37 @@
 	is.Equal(r.Load("s", start).Servers, 2)
 }
 
-func TestAFullServerIsLeftAloneForAWhile(t *testing.T) {
+func TestAFullServerGetsNoRequestsForAWhile(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b")
 	a, _ := pickFrom(r, map[string]bool{"b": true}, start)
 	r.Rejected(a.Server, start)
 	is.Equal(r.Load("s", start).Servers, 1)
-	later := start.Add(firstFull)
+	later := start.Add(minOverloadPause)
 	is.Equal(r.Load("s", later).Servers, 2)
 	r.Rejected(a.Server, later)
-	is.Equal(r.Load("s", later.Add(firstFull)).Servers, 1) // twice as long
+	is.Equal(r.Load("s", later.Add(minOverloadPause)).Servers, 1) // the second pause is twice as long
 	r.Accepted(a.Server, start)
 	is.Equal(r.Load("s", later).Servers, 2)
 }
 
-// A server that leaves just after an outage must get nothing two seconds later,
-// the gateway's look at grace periods included.
+// A server that drains just after an outage of the source must be dropped within two
+// seconds, including the interval at which the gateway checks grace periods.
 func TestAServerThatLeavesAfterAnOutageIsDroppedInTime(t *testing.T) {
 	is := is.New(t)
-	const drain, look = 2 * time.Second, 200 * time.Millisecond
+	const drainTime, checkInterval = 2 * time.Second, 200 * time.Millisecond
 	r := registry(nil, "a", "b")
-	r.Update(infos("a"), at(2), absence, start)
-	r.Expire(at(2), start.Add(drain-2*look))
+	r.Update(infos("a"), at(2), gracePeriod, start)
+	r.Expire(at(2), start.Add(drainTime-2*checkInterval))
 	is.Equal(r.Load("s", start).Servers, 1)
 }
 
-// After a loss of power, the list names servers that are gone. Requests are kept
-// off them by probes, which cost no retries.
-func TestServersThatAllTurnRequestsAwayAreProbed(t *testing.T) {
+// After a loss of power, the list contains servers that are gone. Probes keep requests
+// from them without using up retries.
+func TestServersAreProbedIfAllRejectRequests(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b", "c", "d")
-	is.Equal(len(r.DueProbes(start)), 0) // nothing is known against them
+	is.Equal(len(r.DueProbes(start)), 0) // no server is suspect
 	for _, id := range []string{"a", "b", "c"} {
 		c := pick(t, r, start)
 		c.Release()
@@ -246,7 +246,7 @@
 	is.Equal(found, Unavailable)
 	due := r.DueProbes(start)
 	is.Equal(len(due), 4)
-	is.Equal(len(r.DueProbes(start)), 0) // they are being asked
+	is.Equal(len(r.DueProbes(start)), 0) // probes of all are in flight
 	for _, server := range due {
 		r.Probed(server, server.ID == "b")
 	}
@@ -256,12 +256,12 @@
 	is.Equal(pick(t, r, start).Server.ID, "b") // the others stay suspect
 	is.Equal(len(r.DueProbes(start.Add(probeInterval))), 3)
 	r.Update(infos("a", "b", "e"), at(2), 0, start)
-	is.Equal(r.Load("s", start).Servers, 2) // what is listed anew is trusted
+	is.Equal(r.Load("s", start).Servers, 2) // a newly listed server is trusted
 	is.Equal(r.Load("s", start.Add(suspectTime+time.Second)).Servers, 3)
 }
 
-// Where no probe is answered, requests find out by themselves in the end.
-func TestARequestDoesNotQueueForLong(t *testing.T) {
+// Bounds the expected time in a server's queue once the service time is known.
+func TestTheQueueTimeIsBounded(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a")
 	d := Demand{Service: "s", MostWait: 200 * time.Millisecond}
@@ -270,16 +270,16 @@
 		is.Equal(found, Available)
 	}
 	_, found := r.Pick(d, start)
-	is.Equal(found, Available) // how long requests take is not known yet
+	is.Equal(found, Available) // the service time is not known yet
 	r.Occupied("s", 1500*time.Millisecond)
 	_, found = r.Pick(d, start)
-	is.Equal(found, AllBusy) // 2 before it, 125 ms each
+	is.Equal(found, AllBusy) // 2 requests before it, 125 ms each
 	d.MostWait = time.Second
 	_, found = r.Pick(d, start)
 	is.Equal(found, Available)
 }
 
-func TestStreamsKeepAwayFromSlowPasses(t *testing.T) {
+func TestStreamsAvoidServersWithLongPasses(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b")
 	slow := r.shard("s").servers["a"]
@@ -295,11 +295,11 @@
 	slow.Pace.Event(60*time.Millisecond, start)
 	c, _ := r.Pick(d, start)
 	is.Equal(c.Server.ID, "a")
-	is.Equal(slow.Pace.Gap(start.Add(500*time.Millisecond)), 500*time.Millisecond) // a pause that goes on
+	is.Equal(slow.Pace.Gap(start.Add(500*time.Millisecond)), 500*time.Millisecond) // a gap that has not ended counts
 }
 
-// A server that crashed and started again is listed twice until the lease of its
-// first entry ends; requests to the first would only be turned away.
+// A server that crashed and restarted is listed twice until the lease of its first entry
+// expires. Requests to the first entry would only be rejected.
 func TestALaterServerAtTheSameAddressReplacesTheFirst(t *testing.T) {
 	is := is.New(t)
 	r := NewRegistry(peerLoad(nil), "", zerolog.Nop())
@@ -309,19 +309,12 @@
 	is.Equal(r.Load("s", start).Servers, 1)
 	is.Equal(pick(t, r, start).Server.ID, "new")
 	moved := Info{ID: "other", Service: "t", Address: "127.0.0.1:1", Slots: 12, At: at(11)}
-	r.Update([]Info{first, later, moved}, at(11), 0, start) // another service took the address over
+	r.Update([]Info{first, later, moved}, at(11), 0, start) // a server of another service took over the address
 	is.Equal(r.Load("s", start).Servers, 0)
 	is.Equal(r.Load("t", start).Servers, 1)
 }
 
-// After a probation late requests get a growing part of the slots. Punctual ones come at
-// their own pace, which no backlog adds to, and are bounded by the length of passes.
-// While passes are long, servers on which nobody has a stream are no better than the
-// others of their group: otherwise all streams would go to these few.
-// Late requests get the places that punctual arrivals leave, and give them back.
-// Servers whose agents tell that their group was formed get requests again at once:
-// neither a probe nor what was seen of the group before has to run out.
-// Bytes between availability zones cost money; but a longer queue costs more.
+// Traffic between availability zones costs money, but a longer queue costs more.
 func TestTheOwnZoneIsPreferredAtEqualLoads(t *testing.T) {
 	is := is.New(t)
 	r := NewRegistry(peerLoad(nil), "here", zerolog.Nop())
@@ -331,17 +324,17 @@
 	}, at(1), 0, start)
 	is.Equal(pick(t, r, start).Server.ID, "near")
 	near := r.shard("s").servers["near"]
-	near.inFlight.Store(3) // three requests more are too many
+	near.inFlight.Store(3) // three more requests outweigh the zone
 	is.Equal(pick(t, r, start).Server.ID, "far")
 }
 
-// Load pattern: a group of ranks is formed anew, and each of many gateways would probe
-// all of its servers.
-func TestWhatOtherGatewaysServeNeedsNoProbe(t *testing.T) {
+// Without reports from other gateways, each of many gateways would probe all servers of a
+// group that is formed again.
+func TestServersThatServeOtherGatewaysNeedNoProbe(t *testing.T) {
 	for name, c := range map[string]struct {
 		gap  time.Duration
 		want int
-	}{"streams flow": {80 * time.Millisecond, 1}, "they stand": {standsFrom, 0}, "nothing is known": {0, 0}} {
+	}{"streams flow": {80 * time.Millisecond, 1}, "they are stalled": {stallThreshold, 0}, "nothing is known": {0, 0}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r := registry(nil, "a", "b", "c", "d")
@@ -349,13 +342,13 @@
 			for _, server := range r.shard("s").servers {
 				r.Rejected(server, start)
 			}
-			is.Equal(r.Load("s", start.Add(longestFull)).Servers, 0) // what they said may be older
-			is.Equal(r.Load("s", start.Add(peersPatience)).Servers, c.want)
+			is.Equal(r.Load("s", start.Add(maxOverloadPause)).Servers, 0) // the report may be older than the rejections
+			is.Equal(r.Load("s", start.Add(peerReportMaxAge)).Servers, c.want)
 		})
 	}
 }
 
-// foundByPeers are servers that another gateway found to take requests again.
+// foundByPeers reports servers that another gateway found to take requests again.
 type foundByPeers struct{ peerLoad }
 
 func (p foundByPeers) Load(servers []uint32, out []cluster.Load) {
@@ -364,29 +357,30 @@
 	}
 }
 
-// Load pattern: all processes and groups come back together, and each of the gateways
-// may probe a few of several hundred servers in an interval.
-func TestWhatOneGatewayFindsTheOthersKnow(t *testing.T) {
+// After a common outage of all servers, each gateway may probe only a few of several
+// hundred servers in an interval, so gateways have to report what they find to each
+// other.
+func TestFoundServersAreReportedToOtherGateways(t *testing.T) {
 	is := is.New(t)
 	finder := registry(nil, "a", "b", "c", "d")
 	for _, server := range finder.shard("s").servers {
 		finder.Rejected(server, start)
 	}
-	is.Equal(finder.Load("s", start.Add(longestFull)).Servers, 0)
+	is.Equal(finder.Load("s", start.Add(maxOverloadPause)).Servers, 0)
 	b := finder.shard("s").servers["b"]
 	finder.Probed(b, true)
 	found := finder.Found(time.Now())
 	is.Equal(found, []uint32{b.Key})
-	is.Equal(len(finder.Found(time.Now().Add(foundTold))), 0) // not for ever
+	is.Equal(len(finder.Found(time.Now().Add(recoveryReportTime))), 0) // reported for a limited time only
 
 	other := registry(nil, "a", "b", "c", "d")
 	other.peers = foundByPeers{peerLoad{found[0]: 1}}
 	for _, server := range other.shard("s").servers {
 		other.Rejected(server, start)
 	}
-	is.Equal(other.Load("s", start.Add(longestFull)).Servers, 0) // it may be older than the rejection
-	is.Equal(other.Load("s", start.Add(foundPatience)).Servers, 1)
-	is.Equal(pick(t, other, start.Add(foundPatience)).Server.ID, "b")
+	is.Equal(other.Load("s", start.Add(maxOverloadPause)).Servers, 0) // the report may be older than the rejection
+	is.Equal(other.Load("s", start.Add(recoveryReportMaxAge)).Servers, 1)
+	is.Equal(pick(t, other, start.Add(recoveryReportMaxAge)).Server.ID, "b")
 }
 
 func TestGatewaysShareTheProbes(t *testing.T) {
@@ -394,21 +388,21 @@
 	r := registry(nil, "a")
 	const members, servers = 16, 192
 	r.peers = servedByPeers{members: members}
-	const intervals, looks = 40, 3
+	const intervals, checks = 40, 3
 	sum := 0
 	for range members {
 		var b probeBudget
-		for i := range intervals * looks {
-			at := start.Add(time.Duration(i) * probeInterval / looks)
-			sum += b.take(r.probesAtOnce(servers), at)
+		for i := range intervals * checks {
+			at := start.Add(time.Duration(i) * probeInterval / checks)
+			sum += b.take(r.probesPerInterval(servers), at)
 		}
 	}
 	perInterval := float64(sum) / intervals
-	is.True(perInterval > 0.9*servers/probedPart && perInterval < 1.1*servers/probedPart)
+	is.True(perInterval > 0.9*servers/probeDivisor && perInterval < 1.1*servers/probeDivisor)
 }
 
-// What is not needed is not saved up for the next outage.
-func TestProbesAreNotSavedUp(t *testing.T) {
+// Unused probes must not accumulate until the next outage.
+func TestUnusedProbesDoNotAccumulate(t *testing.T) {
 	is := is.New(t)
 	var b probeBudget
 	is.Equal(b.take(4, start), 4)
--- a/entry/balance/rest.go
+++ b/entry/balance/rest.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// A backend server that turns a request away may ask this gateway for rest. It then gets nothing
-// by any way until the rest is over, and its requests back a few at a time: each that it accepts
-// lets one more be under way. A server that is still in need turns one request away, not a batch.
+// A backend server that rejects a request may ask this gateway for a backoff. It then
+// gets no requests on any path until the backoff has ended. After that, the number of
+// concurrent requests ramps up from one: each accepted request allows one more. A server
+// that is still overloaded thus rejects one request, not a batch.
 
-// unknownStay is for how long a request is taken to occupy a slot as long as none has been seen
-// to end.
-const unknownStay = time.Second
+// defaultServiceTime is the assumed time for which a request occupies a slot until one
+// has been measured.
+const defaultServiceTime = time.Second
 
-// returning bounds what a server gets after a rest.
-type returning struct {
-	window   int           // requests at a time, 0 = any number
-	underWay *atomic.Int32 // of those sent since the rest
+// rampUp bounds the concurrent requests to a server after a backoff.
+type rampUp struct {
+	window  int           // maximum number of concurrent requests, 0 = unbounded
+	running *atomic.Int32 // requests sent since the backoff
 }
 
-// full reports whether the server gets nothing more for the moment.
-func (r *returning) full() bool { return r.window > 0 && int(r.underWay.Load()) >= r.window }
+// full reports whether the window allows no further request now.
+func (r *rampUp) full() bool { return r.window > 0 && int(r.running.Load()) >= r.window }
 
-// accepted widens the window, until it is no bound any more.
-func (r *returning) accepted(slots int) {
+// accepted widens the window by one request, and removes the bound when it reaches the
+// slots.
+func (r *rampUp) accepted(slots int) {
 	if r.window == 0 {
 		return
 	}
@@ -33,49 +35,51 @@
 	}
 }
 
-// Rests reports whether the server rests.
-func (s *Server) Rests(now time.Time) bool { return now.Before(s.said.RestsUntil()) }
+// Rests reports whether the server is in a backoff.
+func (s *Server) Rests(now time.Time) bool { return now.Before(s.noticeState.RestsUntil()) }
 
-// usualStay returns for how long a request occupies a slot.
-func (s *shard) usualStay() time.Duration {
-	if s.occupied == 0 {
-		return unknownStay
+// usualServiceTime returns the measured time for which a request occupies a slot, or
+// defaultServiceTime.
+func (s *shard) usualServiceTime() time.Duration {
+	if s.meanServiceTime == 0 {
+		return defaultServiceTime
 	}
-	return s.occupied
+	return s.meanServiceTime
 }
 
-// backAt returns when a server that rests, or returns from a rest, may get a request; false if it
-// does neither.
-func (s *shard) backAt(server *Server, now time.Time) (at time.Time, resting bool) {
-	window := server.returning.window
+// backAt returns when a server in a backoff or ramp-up may get a request; false if it is
+// in neither.
+func (s *shard) backAt(server *Server, now time.Time) (at time.Time, inBackoff bool) {
+	window := server.rampUp.window
 	switch {
 	case server.Rests(now):
-		return server.said.RestsUntil(), true
-	case server.returning.full():
-		return now.Add(s.usualStay() / time.Duration(window)), true
+		return server.noticeState.RestsUntil(), true
+	case server.rampUp.full():
+		return now.Add(s.usualServiceTime() / time.Duration(window)), true
 	default:
 		return time.Time{}, window > 0
 	}
 }
 
-// Rested notes that the server turned a request away and wants nothing from this gateway for a
-// time. It returns until when it gets nothing, and whether it rested before.
-func (r *Registry) Rested(server *Server, rest time.Duration, now time.Time) (until time.Time, before bool) {
+// Rested records that the server rejected a request and asked this gateway for a backoff.
+// It returns the end of the backoff, and whether the server was in a backoff before.
+func (r *Registry) Rested(server *Server, backoff time.Duration, now time.Time) (until time.Time, before bool) {
 	s := r.shard(server.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	spread := returnSpread(rest, s.usualStay(), r.peers.Members(), server.Slots)
-	until, before = server.said.Rest(now.Add(rest+rand.N(spread+1)), now)
-	server.returning = returning{window: 1, underWay: new(atomic.Int32)}
+	jitter := backoffJitter(backoff, s.usualServiceTime(), r.peers.Members(), server.Slots)
+	until, before = server.noticeState.Rest(now.Add(backoff+rand.N(jitter+1)), now)
+	server.rampUp = rampUp{window: 1, running: new(atomic.Int32)}
 	return until, before
 }
 
-// returnSpread returns over which time the first requests of all gateways after a rest are
-// spread, zero if there is a slot for each: about as many are under way at a time as there are
-// slots. A rest is not made more than twice as long by it.
-func returnSpread(rest, stay time.Duration, members, slots int) time.Duration {
+// backoffJitter returns the interval over which the first requests of all gateways after
+// a backoff are spread, so that the number of concurrent ones is about the number of
+// slots. It is zero if there is a slot for each gateway. It is at most the length of the
+// backoff.
+func backoffJitter(backoff, serviceTime time.Duration, members, slots int) time.Duration {
 	if members <= slots {
 		return 0
 	}
-	return min(rest, time.Duration(float64(members)/float64(max(1, slots))*float64(stay)))
+	return min(backoff, time.Duration(float64(members)/float64(max(1, slots))*float64(serviceTime)))
 }
--- a/entry/balance/rest_test.go
+++ b/entry/balance/rest_test.go
@@ -11,7 +11,7 @@
 	"baywall.example/core/cluster"
 )
 
-// members is a fleet of gateways that put no load on servers.
+// members is the number of gateways of a fleet that puts no load on servers.
 type members int
 
 func (members) Load([]uint32, []cluster.Load)   {}
@@ -20,8 +20,8 @@
 func (m members) Members() int                  { return int(m) }
 func (members) Staleness() (none time.Duration) { return 0 }
 
-// restRegistry has servers of four slots.
-func restRegistry(ids ...string) *Registry {
+// backoffRegistry returns a registry of servers with four slots.
+func backoffRegistry(ids ...string) *Registry {
 	r := NewRegistry(members(1), "", zerolog.Nop())
 	list := infos(ids...)
 	for i := range list {
@@ -33,9 +33,9 @@
 
 func serverOf(r *Registry, id string) *Server { return r.shard("s").servers[id] }
 
-func TestAServerThatRestsIsLeftOutUntilTheEnd(t *testing.T) {
+func TestAServerInBackoffGetsNoRequests(t *testing.T) {
 	is := is.New(t)
-	r := restRegistry("a", "b")
+	r := backoffRegistry("a", "b")
 	a := serverOf(r, "a")
 	until, before := r.Rested(a, 3*time.Second, start)
 	is.Equal(until, start.Add(3*time.Second))
@@ -43,8 +43,8 @@
 	for range 4 {
 		is.Equal(pick(t, r, start).Server.ID, "b")
 	}
-	is.Equal(r.Admits(a, start), ErrResting) // what was meant for it already
-	r.Accepted(a, start.Add(time.Second))    // a request that was under way
+	is.Equal(r.Admits(a, start), ErrResting) // also for a request that was already assigned to it
+	r.Accepted(a, start.Add(time.Second))    // a request that was in flight
 	r.Succeeded(a)
 	_, before = r.Rested(a, 500*time.Millisecond, start.Add(time.Second))
 	is.True(before)
@@ -55,10 +55,10 @@
 	is.NoErr(r.Admits(a, until))
 }
 
-// A resting server is neither probed nor counted among those that turn requests away.
-func TestAServerThatRestsIsNotProbed(t *testing.T) {
+// A server in a backoff is not probed.
+func TestAServerInBackoffIsNotProbed(t *testing.T) {
 	is := is.New(t)
-	r := restRegistry("a", "b", "c", "d")
+	r := backoffRegistry("a", "b", "c", "d")
 	for _, id := range []string{"a", "b", "c"} {
 		r.Rejected(serverOf(r, id), start)
 	}
@@ -68,9 +68,9 @@
 	}
 }
 
-func TestAfterARestRequestsComeBackAFewAtATime(t *testing.T) {
+func TestRampUpAfterABackoff(t *testing.T) {
 	is := is.New(t)
-	r := restRegistry("a")
+	r := backoffRegistry("a")
 	a := serverOf(r, "a")
 	until, _ := r.Rested(a, time.Second, start)
 	d := Demand{Service: "s"}
@@ -82,7 +82,7 @@
 	is.Equal(found, Resting)
 	is.Equal(second.Load.Resting, 1)
 	r.Accepted(a, until)
-	second, found = r.Pick(d, until) // beside the first one
+	second, found = r.Pick(d, until) // while the first one is in flight
 	is.Equal(found, Available)
 	_, found = r.Pick(d, until)
 	is.Equal(found, Resting)
@@ -91,21 +91,21 @@
 	r.Accepted(a, until)
 	r.Accepted(a, until)
 	for range a.Slots {
-		pick(t, r, until) // it is no bound any more
+		pick(t, r, until) // the window no longer bounds them
 	}
 	r.Rested(a, time.Second, until)
 	_, found = r.Pick(d, until)
 	is.Equal(found, Resting)
 }
 
-// Another incarnation under the id or at the address has not asked for anything.
-func TestANewIncarnationOwesNoRest(t *testing.T) {
+// A backoff does not apply to another incarnation under the id or at the address.
+func TestABackoffAppliesToOneIncarnation(t *testing.T) {
 	base := infos("a")[0]
 	base.Started = 1
 	cases := []struct {
-		name string
-		edit func(*Info)
-		owes bool
+		name      string
+		edit      func(*Info)
+		inBackoff bool
 	}{
 		{"the same one", func(*Info) {}, true},
 		{"started again", func(i *Info) { i.Started = 2 }, false},
@@ -123,17 +123,18 @@
 			r.Update(nil, at(2), 0, start)
 			r.Update([]Info{next}, at(3), 0, start)
 			_, found := r.Pick(Demand{Service: "s"}, start)
-			is.Equal(found == Resting, c.owes)
+			is.Equal(found == Resting, c.inBackoff)
 		})
 	}
 }
 
-// While all servers rest, the first end tells when requests may come again.
-func TestWhenTheNextServerIsBackFromItsRest(t *testing.T) {
+// If all servers are in a backoff, the first one that ends determines when requests are
+// served.
+func TestPermitsWhileServersAreInBackoff(t *testing.T) {
 	is := is.New(t)
-	r := restRegistry("a", "b")
+	r := backoffRegistry("a", "b")
 	r.Rested(serverOf(r, "a"), 3*time.Second, start)
-	is.Equal(r.Permits("s", start).Next, time.Duration(0)) // the other one serves
+	is.Equal(r.Permits("s", start).Next, time.Duration(0)) // the other server has no backoff
 	r.Rested(serverOf(r, "b"), 2*time.Second, start)
 	p := r.Permits("s", start)
 	is.Equal(p.Next, 2*time.Second)
@@ -142,41 +143,43 @@
 	is.True(p.PerSecond > 0 && p.PerSecond <= 100)
 }
 
-// Many gateways return to a server of few slots at the end of a rest that it had asked all for: it
-// does not have to turn more away than a gateway finds out for itself.
-func TestNoWaveAfterARest(t *testing.T) {
-	const slots, stay, rest = 12, 500 * time.Millisecond, 3 * time.Second
-	for _, n := range []int{7, 25, 30} { // of a fleet of 254, a tenth is active
+// Guards against a burst of requests when a server with few slots has asked all of many
+// gateways for the same backoff: no more than twice as many first requests as slots may
+// run at a time.
+func TestNoBurstAfterABackoff(t *testing.T) {
+	const slots, serviceTime, backoff = 12, 500 * time.Millisecond, 3 * time.Second
+	for _, n := range []int{7, 25, 30} { // a tenth of a fleet of 254 gateways is active
 		rnd := rand.New(rand.NewPCG(uint64(n), 1))
-		spread := returnSpread(rest, stay, n, slots)
+		jitter := backoffJitter(backoff, serviceTime, n, slots)
 		var starts []time.Duration
 		for range n {
-			starts = append(starts, time.Duration(rnd.Int64N(int64(spread+1))))
+			starts = append(starts, time.Duration(rnd.Int64N(int64(jitter+1))))
 		}
 		most := 0
 		for _, at := range starts {
-			under := 0
+			running := 0
 			for _, other := range starts {
-				if other <= at && at < other+stay {
-					under++
+				if other <= at && at < other+serviceTime {
+					running++
 				}
 			}
-			most = max(most, under)
+			most = max(most, running)
 		}
-		t.Logf("%d gateways, spread %v: at most %d first requests at a time for %d slots", n, spread, most, slots)
+		t.Logf("%d gateways, jitter %v: at most %d first requests at a time for %d slots", n, jitter, most, slots)
 		is.New(t).True(most <= 2*slots)
 	}
 }
 
-// That a server leaves is known from its answers or its entry, whichever told so first, and stays
-// so: an older entry, or one that is written again from a copy of the store, does not end it.
-func TestALeavingIsNeverTakenBack(t *testing.T) {
+// A server that announced in an answer or an entry that it drains stays draining. An
+// older entry, or one that is written again from a copy of the store, must not reverse
+// that.
+func TestDrainingIsNeverReversed(t *testing.T) {
 	base := infos("a")[0]
 	base.Started = 1
 	draining := base
 	draining.Draining = true
-	reborn := base
-	reborn.Started = 2
+	restarted := base
+	restarted.Started = 2
 	answered := func(r *Registry) { r.SaysLeaving(serverOf(r, "a")) }
 	listed := func(list ...Info) func(*Registry) {
 		return func(r *Registry) { r.Update(list, at(1), 0, start) }
@@ -193,7 +196,7 @@
 		{"in an answer, listed again after it was gone", []func(*Registry){answered, listed(), listed(base)}, Leaving},
 		{"in its entry, listed again after it was gone", []func(*Registry){listed(draining), listed(), listed(base)}, Leaving},
 		{"gone", []func(*Registry){answered, listed()}, Unavailable},
-		{"started again under its id", []func(*Registry){answered, listed(reborn)}, Available},
+		{"started again under its id", []func(*Registry){answered, listed(restarted)}, Available},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/entry/balance/spread.go
+++ b/entry/balance/spread.go
@@ -9,17 +9,18 @@
 type candidate struct {
 	index int     // in the shard's usable servers
 	slots float64 // at least 1
-	score float64 // load over slots, with what streams on it are late
-	// limited tells that the server names a limit.
+	score float64 // load over slots, plus the additions for long gaps, slow ranks and other zones
+	// limited is set if the server has a limit.
 	limited bool
 }
 
-// spread draws one of the candidates and returns its index. The requests that
-// other gateways send meanwhile, unheard of here, are taken to be spread in the
-// same way: each server gets requests in proportion to what it is below the level
-// that all of them together would fill. With none, it is the least loaded server.
-// The draw is uniform in [0, 1). The candidates are reordered.
-func spread(c []candidate, unheard, draw float64) int {
+// spread draws one of the candidates and returns its index. Requests that other gateways
+// send in the meantime, which are not reported yet, are assumed to be spread in the same
+// way: the probability of a server is proportional to the number of requests that fit on
+// it below the level to which all these requests together would raise the least loaded
+// servers. Without such requests, the least loaded server is chosen. The draw is uniform
+// in [0, 1). The candidates are reordered.
+func spread(c []candidate, unreported, draw float64) int {
 	slices.SortFunc(c, func(a, b candidate) int {
 		switch {
 		case a.score < b.score:
@@ -30,8 +31,8 @@
 			return 0
 		}
 	})
-	level, below := fill(c, max(1, unheard))
-	at := draw * room(c[:below], level)
+	level, below := fillLevel(c, max(1, unreported))
+	at := draw * capacity(c[:below], level)
 	for _, one := range c[:below] {
 		if at -= one.slots * (level - one.score); at < 0 {
 			return one.index
@@ -40,9 +41,9 @@
 	return c[0].index
 }
 
-// fill returns the level to which the requests would fill the least loaded
-// candidates, and how many of these are below it.
-func fill(c []candidate, requests float64) (level float64, below int) {
+// fillLevel returns the level to which the requests would raise the load of the least
+// loaded candidates, and how many candidates are below it.
+func fillLevel(c []candidate, requests float64) (level float64, below int) {
 	slots, taken := 0.0, 0.0 // of the candidates below the level
 	for i, one := range c {
 		if i > 0 && (requests+taken)/slots <= one.score {
@@ -54,8 +55,8 @@
 	return (requests + taken) / slots, len(c)
 }
 
-// room returns how many requests fit below the level.
-func room(c []candidate, level float64) float64 {
+// capacity returns how many requests fit below the level.
+func capacity(c []candidate, level float64) float64 {
 	sum := 0.0
 	for _, one := range c {
 		sum += one.slots * (level - one.score)
@@ -93,11 +94,12 @@
 	a.count++
 }
 
-// rate returns the arrivals a second.
+// rate returns the smoothed number of arrivals per second.
 func (a *arrivals) rate() float64 { return a.smooth }
 
-// rateAt returns the arrivals a second as far as they are known at a time: before the
-// first window is over from what it has counted, and less than before when none come.
+// rateAt returns the arrivals per second at a time. Before the end of the first window it
+// is computed from the arrivals so far. If no arrival has ended an overdue window, the
+// rate drops with the time passed.
 func (a *arrivals) rateAt(now time.Time) float64 {
 	passed := now.Sub(a.since)
 	switch {
--- a/entry/balance/spread_test.go
+++ b/entry/balance/spread_test.go
@@ -9,14 +9,14 @@
 	"github.com/matryer/is"
 )
 
-func TestASpreadLevelsLoadsOut(t *testing.T) {
+func TestSpreadLevelsLoads(t *testing.T) {
 	loads := []float64{2, 4, 4, 10}
 	cases := []struct {
-		name    string
-		unheard float64
-		share   []float64
+		name       string
+		unreported float64
+		share      []float64
 	}{
-		{"nothing unheard", 0, []float64{1, 0, 0, 0}},
+		{"nothing unreported", 0, []float64{1, 0, 0, 0}},
 		{"up to the next", 2, []float64{1, 0, 0, 0}},
 		{"three of four", 5, []float64{3.0 / 5, 1.0 / 5, 1.0 / 5, 0}},
 		{"all", 24, []float64{9.0 / 24, 7.0 / 24, 7.0 / 24, 1.0 / 24}},
@@ -31,7 +31,7 @@
 				for j, load := range loads {
 					candidates = append(candidates, candidate{index: j, slots: 10, score: load / 10})
 				}
-				counts[spread(candidates, c.unheard, (float64(i)+0.5)/draws)]++
+				counts[spread(candidates, c.unreported, (float64(i)+0.5)/draws)]++
 			}
 			for j, want := range c.share {
 				got := counts[j] / draws
@@ -41,26 +41,26 @@
 	}
 }
 
-// Gateways that hear of each other's requests late must not fill the same
-// servers: 30 of them, 64 servers, 57 requests in an interval.
-func TestGatewaysWithOldLoadsDoNotHerd(t *testing.T) {
+// Gateways that learn of each other's requests with a delay must not overload the same
+// servers: 30 gateways, 64 servers, 57 requests per report interval.
+func TestGatewaysWithOldLoadsDoNotOverloadTheSameServers(t *testing.T) {
 	is := is.New(t)
 	const gateways, servers, perInterval, lifetime = 30, 64, 57, 6
-	most := func(unheard float64) int {
+	most := func(unreported float64) int {
 		rnd := rand.New(rand.NewPCG(1, 2))
-		heard := make([]int, servers) // by all, at the last interval
-		var running [][]int           // servers, by interval
+		reported := make([]int, servers) // reported loads as of the last interval
+		var running [][]int              // servers of the running requests, by interval
 		highest := 0
 		for range 200 {
 			var now []int
-			actual := slices.Clone(heard)
+			actual := slices.Clone(reported)
 			for range perInterval {
 				candidates := make([]candidate, servers)
 				for i := range candidates {
-					candidates[i] = candidate{index: i, slots: 10, score: float64(heard[i]) / 10}
+					candidates[i] = candidate{index: i, slots: 10, score: float64(reported[i]) / 10}
 				}
 				rnd.Shuffle(servers, func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-				picked := spread(candidates, unheard, rnd.Float64())
+				picked := spread(candidates, unreported, rnd.Float64())
 				actual[picked]++
 				now = append(now, picked)
 			}
@@ -71,13 +71,13 @@
 				}
 				running = running[1:]
 			}
-			heard = actual
+			reported = actual
 			highest = max(highest, slices.Max(actual))
 		}
 		return highest
 	}
-	herd, level := most(0), most(perInterval) // 5.3 on average
-	t.Logf("most on one server: %d, with the unheard taken in %d", herd, level)
+	herd, level := most(0), most(perInterval) // the mean is 5.3
+	t.Logf("most on one server: %d, with the unreported taken in %d", herd, level)
 	is.True(herd > 30)
 	is.True(level < 16)
 }
--- a/entry/routing/affinity/affinity.go
+++ b/entry/routing/affinity/affinity.go
@@ -1,11 +1,11 @@
 // Package affinity sends requests with the same prompt prefix to the same
 // runner, as long as that runner is not loaded far above the mean.
 //
-// Every runner has a rendezvous weight for the key; the heaviest one whose load
-// stays within factor x mean (rounded up, counting the new request) is picked.
-// So a prefix stays where its cache is warm, spills over in a fixed order when
-// that runner is busy, and moves only partly when runners come and go. The
-// bound is that of consistent hashing with bounded loads.
+// Every runner has a rendezvous weight for the key. The runner with the highest weight is
+// picked among those whose load stays within factor x mean (rounded up, counting the new
+// request). A prefix thus stays on the runner that has it cached, spills over in a fixed
+// order when that runner is busy, and only a part of the prefixes moves when runners are
+// added or removed. The bound is that of consistent hashing with bounded loads.
 //
 // Limits: one pass over all runners of the service for each request, which is
 // linear in their number.
--- a/entry/routing/leastload/leastload.go
+++ b/entry/routing/leastload/leastload.go
@@ -1,6 +1,6 @@
-// Package leastload picks the runner with the least reported load. It is the
-// baseline that trusts lagging reports: between two reports every entry VM
-// sends everything to the same runner.
+// Package leastload picks the runner with the least reported load. It is the baseline
+// that relies on delayed reports: between two reports, every entry VM sends everything to
+// the same runner.
 package leastload
 
 import (
--- a/entry/routing/roundrobin/roundrobin.go
+++ b/entry/routing/roundrobin/roundrobin.go
@@ -1,5 +1,5 @@
-// Package roundrobin picks one runner after the other, whatever their load. It
-// is the simplest baseline.
+// Package roundrobin picks the runners in turn, whatever their load. It is the simplest
+// baseline.
 package roundrobin
 
 import (
--- a/entry/routing/routing.go
+++ b/entry/routing/routing.go
@@ -8,10 +8,10 @@
 	"baywall.example/core/zone"
 )
 
-// Policy is a balancing strategy. It is safe for concurrent use.
+// Policy is a balancing strategy. Implementations are safe for concurrent use.
 type Policy interface {
-	// Pick returns the index of the runner to use for a request with the key,
-	// or -1 if there is no runner. It must not keep the slice.
+	// Pick returns the index of the runner to use for a request with the key, or -1 if
+	// there are no runners. It must not retain the slice.
 	Pick(runners []*Runner, key uint64) int
 }
 
@@ -31,17 +31,17 @@
 	return &Runner{VM: id, Zone: z, Hash: rendezvous.Hash(string(id))}
 }
 
-// Begin counts a request of this entry VM in.
+// Begin counts a request of this entry VM as started.
 func (r *Runner) Begin() { r.own.Add(1) }
 
-// End counts a request of this entry VM out.
+// End counts a request of this entry VM as ended.
 func (r *Runner) End() { r.own.Add(-1) }
 
 // Own returns this entry VM's requests in flight.
 func (r *Runner) Own() int64 { return r.own.Load() }
 
-// Report takes in a load report: all requests in flight at the agent, and the
-// length of the engine's queue. What this entry VM has in flight is subtracted.
+// Report records a load report: all requests in flight at the agent, and the length of
+// the engine's queue. The requests that this entry VM has in flight are subtracted.
 func (r *Runner) Report(inFlight, queued int64) {
 	r.others.Store(max(0, inFlight-r.own.Load()))
 	r.queued.Store(queued)
@@ -50,6 +50,6 @@
 // Load returns the estimated number of requests in flight.
 func (r *Runner) Load() int64 { return r.own.Load() + r.others.Load() }
 
-// Reported returns the load of the last report alone, as the baseline that
-// trusts reports sees it.
+// Reported returns the load according to the last report alone. It is used by the
+// baseline that relies on reports.
 func (r *Runner) Reported() int64 { return r.others.Load() + r.queued.Load() }
--- a/entry/routing/routing_bench_test.go
+++ b/entry/routing/routing_bench_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestAffinityKeepsAPrefixUntilItsRunnerIsBusy(t *testing.T) {
+func TestAffinityMovesAPrefixOnlyWhileItsRunnerIsBusy(t *testing.T) {
 	is := is.New(t)
 	p, rs := affinity.New(1.25), runners(8)
 	home := p.Pick(rs, 42)
@@ -55,7 +55,7 @@
 	is.Equal(p.Pick(rs, 42), home)
 }
 
-// No runner gets more than the factor times the mean, whatever the keys.
+// No runner may get more than the factor times the mean, whatever the keys.
 func TestAffinityBoundsTheLoad(t *testing.T) {
 	is := is.New(t)
 	p, rs := affinity.New(1.25), runners(10)
@@ -67,7 +67,7 @@
 	}
 }
 
-// Between two reports a strategy that trusts them alone sends everything to one
+// Between two reports, a strategy that relies on reports alone sends everything to one
 // runner; one that counts its own requests does not.
 func TestOwnRequestsCountBetweenReports(t *testing.T) {
 	is := is.New(t)
@@ -75,16 +75,16 @@
 	for i, r := range rs {
 		r.Report(int64(10+i), 0)
 	}
-	herd, spread := 0, map[int]int{}
+	onFirst, spread := 0, map[int]int{}
 	for range 40 {
 		if (leastload.Policy{}).Pick(rs, 0) == 0 {
-			herd++
+			onFirst++
 		}
 		i := affinity.New(1).Pick(rs, 9)
 		rs[i].Begin()
 		spread[i]++
 	}
-	is.Equal(herd, 40)
+	is.Equal(onFirst, 40)
 	is.Equal(len(spread), 4)
 }
 
