--- a/entry/admission/admission_test.go
+++ b/entry/admission/admission_test.go
@@ -34,35 +34,36 @@
 	}
 }
 
-func TestLateRoomIsWhatPunctualRequestsLeave(t *testing.T) {
+func TestLateQuotaIsWhatOnTimeRequestsLeave(t *testing.T) {
 	is := is.New(t)
-	// 63 ranks of 10 slots, 12 gateways, 224 streams a second that stay 1.5 s.
+	// 63 ranks with 10 slots each, 12 gateways, 224 streams per second with a service
+	// time of 1.5 s
 	p := Places{Slots: 630, Members: 12, PunctualRate: 224.0 / 12, Stay: 1500 * ms}
 	is.Equal(LateRoom(p), 52.5-28)
-	p.PunctualRate = 40 // more than the servers can take
+	p.PunctualRate = 40 // more than this process's share of the slots
 	is.True(LateRoom(p) < 0)
 }
 
-func TestWhoWaitsForAPlace(t *testing.T) {
+func TestMayWait(t *testing.T) {
 	request := Request{Objective: 400 * ms, Limit: 1900 * ms, FirstAnswer: 150 * ms}
-	busy := Situation{Room: 8, Taken: 8, Stay: 1600 * ms} // a place each 0.2 s
+	busy := Situation{Room: 8, Taken: 8, Stay: 1600 * ms} // a slot is released every 0.2 s
 	cases := []struct {
 		name string
 		r    func(*Request)
 		s    func(*Situation)
 		want bool
 	}{
-		{"punctual, places come free", nil, nil, true},
-		{"punctual, none for late ones", nil, func(s *Situation) { s.Room = -1 }, true},
-		{"punctual, back in time", nil, func(s *Situation) { s.Back = 200 * ms }, true},
-		{"punctual, back long after", nil, func(s *Situation) { s.Back = 2 * time.Second }, false},
-		{"late, its turn is near", func(r *Request) { r.Age = 300 * ms }, nil, true},
-		{"late, its turn is not sure", func(r *Request) { r.Age = 300 * ms }, func(s *Situation) { s.Waiting = 4 }, false},
-		{"late, no room", func(r *Request) { r.Age = 300 * ms }, func(s *Situation) { s.Room = 0 }, false},
-		{"interrupted, its turn is not sure", func(r *Request) { r.Interrupted = true }, func(s *Situation) { s.Waiting = 8 }, true},
-		{"interrupted, its turn is too late", func(r *Request) { r.Interrupted = true }, func(s *Situation) { s.Waiting = 40 }, false},
-		{"interrupted, back after about its time", func(r *Request) { r.Interrupted = true }, func(s *Situation) { s.Back = 2 * time.Second }, true},
-		{"hopeless", func(r *Request) { r.Age = 1800 * ms }, nil, false},
+		{"on time, slots are released", nil, nil, true},
+		{"on time, no quota for late requests", nil, func(s *Situation) { s.Room = -1 }, true},
+		{"on time, the outage ends in time", nil, func(s *Situation) { s.Back = 200 * ms }, true},
+		{"on time, the outage lasts too long", nil, func(s *Situation) { s.Back = 2 * time.Second }, false},
+		{"late, the wait is short", func(r *Request) { r.Age = 300 * ms }, nil, true},
+		{"late, the wait is uncertain", func(r *Request) { r.Age = 300 * ms }, func(s *Situation) { s.Waiting = 4 }, false},
+		{"late, no quota", func(r *Request) { r.Age = 300 * ms }, func(s *Situation) { s.Room = 0 }, false},
+		{"interrupted, the wait is uncertain", func(r *Request) { r.Interrupted = true }, func(s *Situation) { s.Waiting = 8 }, true},
+		{"interrupted, the wait is too long", func(r *Request) { r.Interrupted = true }, func(s *Situation) { s.Waiting = 40 }, false},
+		{"interrupted, the outage ends about when its caller leaves", func(r *Request) { r.Interrupted = true }, func(s *Situation) { s.Back = 2 * time.Second }, true},
+		{"too late for its caller", func(r *Request) { r.Age = 1800 * ms }, nil, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -78,13 +79,13 @@
 	}
 }
 
-// Callers refused while a service stands come back at the pace at which late requests
-// are served, and not before it is back.
-func TestRefusedCallersComeBackAtThePaceOfTheDrain(t *testing.T) {
+// Callers refused during an outage must retry at the rate at which late requests are
+// served, and not before the service is expected to serve again.
+func TestRefusedCallersRetryAtTheRateOfLateRequests(t *testing.T) {
 	is := is.New(t)
 	var p Pacer
 	now := time.Unix(0, 0)
-	s := Situation{Back: time.Second, Room: 4, Stay: 800 * ms} // a place each 0.2 s
+	s := Situation{Back: time.Second, Room: 4, Stay: 800 * ms} // a slot is released every 0.2 s
 	var last time.Duration
 	for i := range 6 {
 		pause := p.Pause(s, 8*time.Second, 0, now)
@@ -96,7 +97,7 @@
 	}
 }
 
-func TestNoPauseOutlastsWhatCallersHeed(t *testing.T) {
+func TestRetryTimesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Situation{
 			Back:    time.Duration(rapid.IntRange(0, 5000).Draw(t, "back")) * ms,
@@ -108,7 +109,7 @@
 		now := time.Unix(0, 0)
 		for range 20 {
 			pause := p.Pause(s, left, rapid.Float64Range(0, 0.999).Draw(t, "draw"), now)
-			if pause <= 0 || pause > max(leastPause, left/3) {
+			if pause <= 0 || pause > max(minRetryAfter, left/3) {
 				t.Fatalf("pause %s of %s left", pause, left)
 			}
 			now = now.Add(10 * ms)
@@ -116,18 +117,18 @@
 	})
 }
 
-// A stand is expected to last as long as usual, then for a part of what it has lasted;
-// its length is learned from the first answer after it.
-func TestWhenAServiceIsExpectedBack(t *testing.T) {
+// An outage is expected to last as long as usual, then for a fraction of the time that it
+// has lasted. Its length is learned from the first answer after it.
+func TestExpectedEndOfAnOutage(t *testing.T) {
 	is := is.New(t)
 	var s Stand
 	now := time.Unix(100, 0)
 	is.Equal(s.Back(now), time.Duration(0))
 	s.Stands(now)
-	is.Equal(s.Back(now), usualStand)
+	is.Equal(s.Back(now), defaultOutage)
 	now = now.Add(time.Second)
 	s.Stands(now)
-	is.Equal(s.Back(now), usualStand-time.Second)
+	is.Equal(s.Back(now), defaultOutage-time.Second)
 	now = now.Add(3 * time.Second)
 	s.Stands(now)
 	is.Equal(s.Back(now), time.Second) // a quarter of 4 s
@@ -135,16 +136,17 @@
 	is.Equal(s.Back(now), time.Duration(0))
 	now = now.Add(time.Minute)
 	s.Stands(now)
-	is.Equal(s.Back(now), (usualStand+longestStand)/2)
+	is.Equal(s.Back(now), (defaultOutage+maxOutage)/2)
 }
 
-// A stand that nobody asked about for long does not make the next one a long one.
-func TestAForgottenStandIsOver(t *testing.T) {
+// An outage without a recent observation counts as ended, so that the next one does not
+// seem to last long.
+func TestAnOutageWithoutObservationsExpires(t *testing.T) {
 	is := is.New(t)
 	var s Stand
 	now := time.Unix(100, 0)
 	s.Stands(now)
 	now = now.Add(time.Minute)
 	s.Stands(now)
-	is.Equal(s.Back(now), usualStand)
+	is.Equal(s.Back(now), defaultOutage)
 }
--- a/entry/admission/line.go
+++ b/entry/admission/line.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Place is a request's place in a Line.
+// Place is the position of a request in a Line.
 type Place struct {
-	// Again tells that it is not the first attempt.
+	// Again is set if the request was attempted before.
 	Again bool
-	// Priority is the request's rank, 0 is the most urgent.
+	// Priority is the priority of the request, 0 is the most urgent.
 	Priority int
-	// Until is when it has to be sent to be of use.
+	// Until is the time by which the request has to be sent.
 	Until time.Time
 }
 
-// before reports whether the place is before another one: first attempts go before others,
-// then by rank, and then what cannot wait for as long.
+// before reports whether the request is sent before another one: first attempts precede
+// others, then the priority decides, then the earlier deadline.
 func (p *Place) before(o *Place) bool {
 	switch {
 	case p.Again != o.Again:
@@ -28,22 +28,23 @@
 	}
 }
 
-// Line is the requests that wait for a permit to be sent to servers that name limits. It is
-// not safe for concurrent use.
+// Line is the queue of requests that wait for a permit to be sent to servers with limits,
+// or for the end of a backoff. It is not safe for concurrent use.
 type Line struct{ places []*Place }
 
 // Join adds a request.
 func (l *Line) Join(p *Place) { l.places = append(l.places, p) }
 
-// Leave takes a request out.
+// Leave removes a request.
 func (l *Line) Leave(p *Place) {
 	l.places = slices.DeleteFunc(l.places, func(o *Place) bool { return o == p })
 }
 
-// Empty reports whether nobody waits.
+// Empty reports whether the queue is empty.
 func (l *Line) Empty() bool { return len(l.places) == 0 }
 
-// Ahead returns how many of those in the line go before a request, which may be one of them.
+// Ahead returns how many requests in the queue precede a request, which may be one of
+// them.
 func (l *Line) Ahead(p *Place) int {
 	n := 0
 	for _, o := range l.places {
@@ -54,8 +55,8 @@
 	return n
 }
 
-// PermitWait returns for how long a request may wait for a permit: until it is late, or its
-// caller leaves.
+// PermitWait returns for how long a request may wait for a permit: until it becomes late
+// or its caller leaves.
 func (r Request) PermitWait() time.Duration {
 	if r.Objective == 0 {
 		return r.PlacesBefore()
@@ -63,70 +64,72 @@
 	return min(r.Spare(), r.PlacesBefore())
 }
 
-// Turn is when a request can expect that a server takes it that is at its limit or rests.
+// Turn estimates when a server that is at its limit or in a backoff takes a request.
 type Turn struct {
-	// Next is the time until a server takes one.
+	// Next is the time until a server takes the next request.
 	Next time.Duration
-	// Queue is for how long others go before then, and Gap the time between two of them. Both
-	// are estimates.
+	// Queue is the estimated time that the requests ahead take after Next, and Gap the
+	// estimated interval between two requests.
 	Queue, Gap time.Duration
 }
 
-// after returns the time until the turn.
-func (t Turn) after() time.Duration { return t.Next + t.Queue }
+// total returns the expected wait.
+func (t Turn) total() time.Duration { return t.Next + t.Queue }
 
-// PermitBy returns for how long a request waits at most that waits for a permit, RestBy the same
-// of one that waits for the end of a rest, which is known.
-func (t Turn) PermitBy() time.Duration { return t.after() * doubt }
+// PermitBy returns the longest time for which a request waits for a permit. All of the
+// expected wait is an estimate.
+func (t Turn) PermitBy() time.Duration { return t.total() * safetyFactor }
 
-// RestBy: see PermitBy.
-func (t Turn) RestBy() time.Duration { return t.Next + doubt*(t.Queue+t.Gap) }
+// RestBy returns the longest time for which a request waits for the end of a backoff. The
+// end itself is known; the wait after it is an estimate.
+func (t Turn) RestBy() time.Duration { return t.Next + safetyFactor*(t.Queue+t.Gap) }
 
-// MayWaitForPermit reports whether a request waits for a permit: only if it is sure to come in
-// time. A late request does not take one that others need.
+// MayWaitForPermit reports whether a request waits for a permit: only if the permit is
+// sure to come in time. A late request does not take a permit that others need.
 func MayWaitForPermit(r Request, t Turn) bool {
-	return r.Urgency() == Punctual && t.after()*doubt < r.PermitWait()
+	return r.Urgency() == Punctual && t.total()*safetyFactor < r.PermitWait()
 }
 
-// MayWaitForRest reports whether a request waits until a rest is over, also if it is late then:
-// only if its turn comes in half of the time until its caller leaves, as the server may ask for
-// another rest.
+// MayWaitForRest reports whether a request waits for the end of a backoff, even if it
+// becomes late: only if it is expected to be sent in half of the time until its caller
+// leaves, since the server may ask for another backoff.
 func MayWaitForRest(r Request, t Turn) bool {
-	return r.Urgency() != Hopeless && t.after()*doubt < r.PlacesBefore()
+	return r.Urgency() != Hopeless && t.total()*safetyFactor < r.PlacesBefore()
 }
 
-// MayStayForRest reports the same of one that waits already: unless another rest was asked for
-// that lasts too long.
+// MayStayForRest reports whether a request that already waits for the end of a backoff
+// goes on waiting: unless a new backoff lasts longer than its caller waits.
 func MayStayForRest(r Request, t Turn) bool {
 	return r.Urgency() != Hopeless && t.Next < r.PlacesBefore()
 }
 
-// longestReturn bounds the time after which a caller may come back that was refused for want of
-// a permit, or after the end of a rest: limits come and go within seconds.
-const longestReturn = 5 * time.Second
+// maxRetryAfter bounds the time after which a caller may retry that was refused for lack
+// of a permit, or the time between the end of a backoff and the retry: limits change
+// within seconds.
+const maxRetryAfter = 5 * time.Second
 
-// PermitPacer hands out the times at which callers may come back that were refused for want of a
-// permit, or as all servers rest. It is not safe for concurrent use.
-type PermitPacer struct{ turns turns }
+// PermitPacer assigns retry times to callers that were refused for lack of a permit, or
+// because all servers are in a backoff. It is not safe for concurrent use.
+type PermitPacer struct{ schedule schedule }
 
-// Pause returns for how long a refused caller is to stay away: until the turn that follows the
-// latest one given. The draw is uniform in [0, 1).
+// Pause returns the time after which a refused caller may retry: after the latest retry
+// time assigned. The draw is uniform in [0, 1).
 func (p *PermitPacer) Pause(t Turn, draw float64, now time.Time) time.Duration {
 	return p.pause(t, 0, draw, now)
 }
 
-// PauseAfterRest is Pause where nobody is served before the end of a rest.
+// PauseAfterRest is like Pause if no request is served before the end of a backoff.
 func (p *PermitPacer) PauseAfterRest(t Turn, draw float64, now time.Time) time.Duration {
 	return p.pause(t, t.Next, draw, now)
 }
 
-// pause returns a time between the end of a rest and longestReturn after it.
-func (p *PermitPacer) pause(t Turn, rest time.Duration, draw float64, now time.Time) time.Duration {
-	longest := rest + longestReturn
-	jitter := time.Duration(draw * float64(min(t.Gap, longestReturn)))
-	pause, ok := p.turns.take(t.after(), t.Gap, jitter, longest, now)
+// pause returns a time between the end of the backoff and maxRetryAfter after it.
+func (p *PermitPacer) pause(t Turn, backoff time.Duration, draw float64, now time.Time) time.Duration {
+	longest := backoff + maxRetryAfter
+	jitter := time.Duration(draw * float64(min(t.Gap, maxRetryAfter)))
+	pause, ok := p.schedule.take(t.total(), t.Gap, jitter, longest, now)
 	if !ok {
-		return lastMoment(longest, rest, draw)
+		return latestRetryAfter(longest, backoff, draw)
 	}
 	return pause
 }
--- a/entry/admission/line_test.go
+++ b/entry/admission/line_test.go
@@ -7,10 +7,10 @@
 	"github.com/matryer/is"
 )
 
-func TestTheMostUrgentGoesFirst(t *testing.T) {
+func TestOrderOfTheLine(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	places := []*Place{ // in the order in which they go
+	places := []*Place{ // in the order in which they are sent
 		{Priority: 0, Until: now.Add(2 * time.Second)},
 		{Priority: 1, Until: now.Add(time.Second)},
 		{Priority: 1, Until: now.Add(3 * time.Second)},
@@ -24,7 +24,7 @@
 	for i, p := range places {
 		is.Equal(line.Ahead(p), i)
 	}
-	is.Equal(line.Ahead(&Place{Priority: 1, Until: now.Add(2 * time.Second)}), 2) // one that is not in it
+	is.Equal(line.Ahead(&Place{Priority: 1, Until: now.Add(2 * time.Second)}), 2) // a request that is not in the queue
 	line.Leave(places[0])
 	is.Equal(line.Ahead(places[2]), 1)
 	for _, p := range places {
@@ -33,12 +33,12 @@
 	is.True(line.Empty())
 }
 
-func TestNothingWaitsForAPermitThatIsNotSureToComeInTime(t *testing.T) {
+func TestMayWaitForPermit(t *testing.T) {
 	base := Request{Objective: 400 * ms, Limit: 2 * time.Second, FirstAnswer: 100 * ms}
 	cases := []struct {
 		name string
 		edit func(*Request)
-		turn time.Duration
+		wait time.Duration
 		want bool
 	}{
 		{"soon", nil, 140 * ms, true},
@@ -54,13 +54,13 @@
 			if c.edit != nil {
 				c.edit(&r)
 			}
-			is.New(t).Equal(MayWaitForPermit(r, Turn{Next: c.turn}), c.want)
+			is.New(t).Equal(MayWaitForPermit(r, Turn{Next: c.wait}), c.want)
 		})
 	}
 }
 
-// Callers come back at the pace of the permits, however many there are.
-func TestCallersRefusedForWantOfAPermitComeBackInTurn(t *testing.T) {
+// Callers must retry at the rate of the permits, however many callers there are.
+func TestCallersRefusedForLackOfAPermitRetryInSequence(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	var p PermitPacer
@@ -70,22 +70,22 @@
 	for range 1000 {
 		pause := p.Pause(Turn{Next: 300 * ms, Gap: 250 * ms}, 0.5, now)
 		is.True(pause > 0)
-		is.True(pause <= longestReturn)
+		is.True(pause <= maxRetryAfter)
 	}
-	is.True(p.Pause(Turn{Next: 300 * ms, Gap: 250 * ms}, 1, now) >= longestReturn*4/5) // the turns are far away
-	is.Equal(p.Pause(Turn{}, 0, now.Add(time.Minute)), leastPause)                     // they are over
+	is.True(p.Pause(Turn{Next: 300 * ms, Gap: 250 * ms}, 1, now) >= maxRetryAfter*4/5) // no retry time is left within the bound
+	is.Equal(p.Pause(Turn{}, 0, now.Add(time.Minute)), minRetryAfter)                  // all assigned retry times are in the past
 }
 
-// Who waits until the rest of a server is over: one that can be served long before its caller
-// leaves, late or not.
-func TestWhoWaitsForTheEndOfARest(t *testing.T) {
+// A request waits for the end of a backoff if it can be served long before its caller
+// leaves, even if it is late.
+func TestMayWaitForBackoff(t *testing.T) {
 	request := Request{Objective: 400 * ms, Limit: 1900 * ms, FirstAnswer: 100 * ms}
 	cases := []struct {
 		name string
 		age  time.Duration
-		turn Turn
+		wait Turn
 		want bool
-		stay bool
+		keep bool
 	}{
 		{"it ends soon", 0, Turn{Next: 200 * ms}, true, true},
 		{"after the objective", 0, Turn{Next: 800 * ms}, true, true},
@@ -93,33 +93,34 @@
 		{"not sure", 0, Turn{Next: 1000 * ms}, false, true},
 		{"others go first", 0, Turn{Next: 200 * ms, Queue: 800 * ms}, false, true},
 		{"after the caller has left", 0, Turn{Next: 1900 * ms}, false, false},
-		{"a day", 0, Turn{Next: 24 * time.Hour}, false, false},
-		{"hopeless", 1850 * ms, Turn{}, false, false},
+		{"a backoff of a day", 0, Turn{Next: 24 * time.Hour}, false, false},
+		{"too late for its caller", 1850 * ms, Turn{}, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			r := request
 			r.Age = c.age
-			is.Equal(MayWaitForRest(r, c.turn), c.want)
-			is.Equal(MayStayForRest(r, c.turn), c.stay)
+			is.Equal(MayWaitForRest(r, c.wait), c.want)
+			is.Equal(MayStayForRest(r, c.wait), c.keep)
 		})
 	}
 }
 
-// Callers refused while all servers rest come back one after the other, none before the end.
-func TestCallersComeBackInTurnAfterARest(t *testing.T) {
+// Callers refused while all servers are in a backoff must retry one after another, none
+// before the end of the backoff.
+func TestCallersRetryInSequenceAfterABackoff(t *testing.T) {
 	is := is.New(t)
 	var p PermitPacer
 	now := time.Unix(0, 0)
-	turn := Turn{Next: 8 * time.Second, Gap: 250 * ms}
+	estimate := Turn{Next: 8 * time.Second, Gap: 250 * ms}
 	for i := range 10 {
-		is.Equal(p.PauseAfterRest(turn, 0, now), turn.Next+time.Duration(i)*turn.Gap)
+		is.Equal(p.PauseAfterRest(estimate, 0, now), estimate.Next+time.Duration(i)*estimate.Gap)
 	}
 	for range 100 {
-		pause := p.PauseAfterRest(turn, 0.9, now)
-		is.True(pause >= turn.Next)
-		is.True(pause <= turn.Next+longestReturn)
+		pause := p.PauseAfterRest(estimate, 0.9, now)
+		is.True(pause >= estimate.Next)
+		is.True(pause <= estimate.Next+maxRetryAfter)
 	}
 	is.True(p.PauseAfterRest(Turn{Next: 24 * time.Hour, Gap: ms}, 0, now) >= 24*time.Hour)
 }
--- a/entry/admission/room.go
+++ b/entry/admission/room.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Places is what one process may use of a service's backend servers, and what it needs
-// of them.
+// Places describes the capacity of a service's backend servers and one process's share of
+// the load.
 type Places struct {
-	// Slots is how many requests the servers run at a time, Members among how many
-	// processes they are shared.
+	// Slots is the number of requests that the servers run concurrently, Members the
+	// number of processes that share them.
 	Slots, Members int
-	// PunctualRate is the number of punctual requests that arrive a second at this
-	// process.
+	// PunctualRate is the number of requests per second that arrive at this process and
+	// can be on time.
 	PunctualRate float64
-	// Stay is for how long a request occupies a slot.
+	// Stay is the expected time for which a request occupies a slot.
 	Stay time.Duration
 }
 
-// LateRoom returns how many late requests this process may have at the servers at a
-// time: what its part of the slots leaves once punctual arrivals have theirs (Little's
-// law). At most 0 means none.
+// LateRoom returns how many late requests this process may have at the servers at a time:
+// its share of the slots less those that on-time arrivals occupy according to Little's
+// law. A value of 0 or less means none.
 func LateRoom(p Places) float64 {
 	return float64(p.Slots)/float64(max(1, p.Members)) - p.PunctualRate*p.Stay.Seconds()
 }
--- a/entry/admission/stand.go
+++ b/entry/admission/stand.go
@@ -3,35 +3,37 @@
 import "time"
 
 const (
-	// usualStand is how long a service that cannot serve is expected to take, as long as
-	// none has been seen: processes and groups of ranks are back about two seconds
-	// after a crash or a loss of power.
-	usualStand = 2300 * time.Millisecond
-	// shortestStand and longestStand bound what is learned.
-	shortestStand, longestStand = 500 * time.Millisecond, 4 * time.Second
-	// standWeight is the weight of the latest stand in the usual one.
-	standWeight = 0.5
-	// overduePart is what a stand that lasts longer than usual is expected to go on for,
-	// in parts of the time that it has lasted: of waits of any length, the longer ones
-	// are those that still last.
-	overduePart = 0.25
-	// leastBack is the least time after which a service that stands is expected back.
-	leastBack = 100 * time.Millisecond
-	// standMemory is after how long without a word a stand is over: nobody asked since.
-	standMemory = 3 * time.Second
+	// defaultOutage is the expected length of an outage until one has been observed:
+	// processes and groups of ranks recover in about two seconds after a crash or a loss
+	// of power.
+	defaultOutage = 2300 * time.Millisecond
+	// minOutage and maxOutage bound the observed lengths that are taken into account.
+	minOutage, maxOutage = 500 * time.Millisecond, 4 * time.Second
+	// outageWeight is the weight of the latest outage in the smoothed length.
+	outageWeight = 0.5
+	// overdueFraction is the expected remaining time of an outage that lasts longer than
+	// usual, as a fraction of the time that it has lasted: the longer an outage has lasted, the
+	// longer it is likely to go on.
+	overdueFraction = 0.25
+	// minRemaining is the least expected remaining time of an outage that has not ended.
+	minRemaining = 100 * time.Millisecond
+	// outageExpiry is the time without an observation after which an outage counts as
+	// ended.
+	outageExpiry = 3 * time.Second
 )
 
-// Stand remembers for how long a service cannot serve anybody. It is not safe for
-// concurrent use.
+// Stand tracks the outages of a service, during which it serves no request. It is not
+// safe for concurrent use.
 type Stand struct {
-	since time.Time // zero = it serves
-	seen  time.Time // that it does not
+	since time.Time // start of the outage, zero = there is none
+	seen  time.Time // latest observation of the outage
 	usual time.Duration
 }
 
-// Stands notes that the service serves nobody, and reports whether that is new.
+// Stands records that the service serves no request, and reports whether an outage has
+// begun.
 func (s *Stand) Stands(now time.Time) bool {
-	begins := s.since.IsZero() || now.Sub(s.seen) > standMemory
+	begins := s.since.IsZero() || now.Sub(s.seen) > outageExpiry
 	if begins {
 		s.since = now
 	}
@@ -39,34 +41,34 @@
 	return begins
 }
 
-// Served notes an answer, and learns from a stand that it ends. It returns for how long
-// the service stood, 0 = it did not.
+// Served records an answer and updates the usual length of an outage if one has ended by
+// it. It returns the length of that outage, 0 = there was none.
 func (s *Stand) Served(now time.Time) time.Duration {
 	if s.since.IsZero() {
 		return 0
 	}
-	stood := now.Sub(s.since)
-	lasted := min(longestStand, max(shortestStand, stood))
+	length := now.Sub(s.since)
+	lasted := min(maxOutage, max(minOutage, length))
 	if s.usual == 0 {
-		s.usual = usualStand
+		s.usual = defaultOutage
 	}
-	s.usual += time.Duration(standWeight * float64(lasted-s.usual))
+	s.usual += time.Duration(outageWeight * float64(lasted-s.usual))
 	s.since = time.Time{}
-	return stood
+	return length
 }
 
-// Back returns the time until the service is expected to serve, 0 = it does.
+// Back returns the expected time until the service serves again, 0 = there is no outage.
 func (s *Stand) Back(now time.Time) time.Duration {
 	if s.since.IsZero() {
 		return 0
 	}
 	usual := s.usual
 	if usual == 0 {
-		usual = usualStand
+		usual = defaultOutage
 	}
 	lasted := now.Sub(s.since)
 	if lasted < usual {
-		return max(leastBack, usual-lasted)
+		return max(minRemaining, usual-lasted)
 	}
-	return max(leastBack, time.Duration(overduePart*float64(lasted)))
+	return max(minRemaining, time.Duration(overdueFraction*float64(lasted)))
 }
--- a/entry/admission/urgency.go
+++ b/entry/admission/urgency.go
@@ -2,42 +2,41 @@
 
 import "time"
 
-// Request is what is known of a request that looks for a backend server.
+// Request is the state of a request that needs a backend server.
 type Request struct {
-	// Age is the time since it arrived at this process.
+	// Age is the time since the request arrived at this process.
 	Age time.Duration
-	// Objective is the time within which an answer has to begin to be on time, counted
-	// like Age; 0 = any time.
+	// Objective is the age by which an answer has to begin to be on time; 0 = any time.
 	Objective time.Duration
-	// Limit is the age at which the caller, if it has heard nothing, leaves.
+	// Limit is the age at which the caller leaves if no answer has begun.
 	Limit time.Duration
-	// FirstAnswer is the time that a backend server usually takes to begin an answer, 0 =
-	// not known.
+	// FirstAnswer is the usual time from sending a request to the beginning of its
+	// answer, 0 = unknown.
 	FirstAnswer time.Duration
-	// Interrupted tells that the caller has seen a part of the answer already, or that an
-	// earlier attempt may have run: it is late whatever its age.
+	// Interrupted is set if the caller has received a part of the answer already, or if
+	// an earlier attempt may have run. Such a request is late whatever its age.
 	Interrupted bool
 }
 
-// Urgency orders requests.
+// Urgency classifies requests by whether they can be on time.
 type Urgency int
 
-// Urgencies, the first to be served first.
+// Urgencies, in the order in which they are served.
 const (
 	Punctual Urgency = iota + 1 // an answer can still begin on time
-	Late                        // it can begin before the caller leaves
-	Hopeless                    // it cannot
+	Late                        // it can still begin before the caller leaves
+	Hopeless                    // it cannot begin before the caller leaves
 )
 
-// String returns the urgency's name.
+// String returns the name of the urgency.
 func (u Urgency) String() string { return [...]string{"", "punctual", "late", "hopeless"}[u] }
 
-// firstAnswerPart bounds the part of the objective that the first answer is taken to
-// need: while answers are slow, requests that have just arrived must not all be given
-// up as late.
-const firstAnswerPart = 0.5
+// firstAnswerFraction bounds the time to the first answer that is assumed, as a fraction
+// of the objective. Without a bound, all requests would count as late on arrival while
+// answers are slow.
+const firstAnswerFraction = 0.5
 
-// Urgency returns how urgent the request is now.
+// Urgency returns the current urgency of the request.
 func (r Request) Urgency() Urgency {
 	switch {
 	case r.Age+r.FirstAnswer >= r.Limit:
@@ -49,16 +48,16 @@
 	}
 }
 
-// Spare returns for how long the request may wait and still be on time; negative if it
-// cannot be any more, 0 for one without an objective.
+// Spare returns for how long the request may wait and still be on time. It is negative if
+// the request can no longer be on time, and 0 for a request without an objective.
 func (r Request) Spare() time.Duration {
 	if r.Objective == 0 {
 		return 0
 	}
-	need := min(r.FirstAnswer, time.Duration(firstAnswerPart*float64(r.Objective)))
+	need := min(r.FirstAnswer, time.Duration(firstAnswerFraction*float64(r.Objective)))
 	return r.Objective - need - r.Age
 }
 
-// PlacesBefore returns for how long the request may wait for a place before its caller
-// leaves; negative if that is too late already.
+// PlacesBefore returns for how long the request may wait for a slot and still be served
+// before its caller leaves; negative if it is too late already.
 func (r Request) PlacesBefore() time.Duration { return r.Limit - r.FirstAnswer - r.Age }
--- a/entry/admission/wait.go
+++ b/entry/admission/wait.go
@@ -5,63 +5,64 @@
 	"time"
 )
 
-// Situation is what this process sees of a service.
+// Situation is the state of a service as seen by this process.
 type Situation struct {
-	// Back is the time until the service is expected to serve, 0 = it does.
+	// Back is the expected time until the service serves again, 0 = there is no outage.
 	Back time.Duration
-	// Waiting is how many late requests wait at this process.
+	// Waiting is the number of late requests that wait at this process.
 	Waiting int
-	// Room is the number of late requests that are served at a time (LateRoom), Taken how
-	// many of these are.
+	// Room is the maximum number of concurrent late requests at the servers, Taken the
+	// number that are in flight.
 	Room  float64
 	Taken int
-	// Stay is for how long a request occupies a slot.
+	// Stay is the expected time for which a request occupies a slot.
 	Stay time.Duration
 }
 
-// never is a wait that does not end.
+// never is the wait for something that is not expected to happen.
 const never = time.Duration(math.MaxInt64)
 
-// Turn returns when a late request that comes now can expect a place: at once if the
-// room is more than those that are served or wait already, otherwise as these end.
-func (s Situation) Turn() time.Duration {
-	gap := s.turnGap()
+// QueueDelay returns when a late request that arrives now is expected to get a slot:
+// immediately if the quota exceeds the late requests that are served or wait already,
+// otherwise after enough of them have ended.
+func (s Situation) QueueDelay() time.Duration {
+	gap := s.slotInterval()
 	if gap == never {
 		return never
 	}
 	taken := s.Taken
 	if s.Back > 0 {
-		taken = 0 // whatever is there now does not outlast the stand
+		taken = 0 // an outage ends all requests in flight
 	}
 	before := max(0, float64(s.Waiting+taken+1)-s.Room)
 	return s.Back + bounded(before*float64(gap))
 }
 
-// turnGap returns the time between two late requests that get a place.
-func (s Situation) turnGap() time.Duration {
+// slotInterval returns the expected time between two slots for late requests.
+func (s Situation) slotInterval() time.Duration {
 	if s.Room <= 0 {
 		return never
 	}
 	return bounded(float64(s.Stay) / s.Room)
 }
 
-// longestWait is what waits are cut to, far beyond any that is waited.
-const longestWait = time.Hour
+// maxWait is the value to which expected waits are cut, far longer than any real wait.
+const maxWait = time.Hour
 
-func bounded(wait float64) time.Duration { return time.Duration(min(wait, float64(longestWait))) }
+func bounded(wait float64) time.Duration { return time.Duration(min(wait, float64(maxWait))) }
 
-// doubt is the factor by which the time until a request's turn may be off: it is an
-// estimate from the usual length of a stand and from mean stays.
-const doubt = 2
+// safetyFactor is the factor by which an expected wait may be wrong: the wait is estimated
+// from the usual length of an outage and from the mean service time.
+const safetyFactor = 2
 
-// MayWait reports whether a request for which there is no place waits for one. A
-// punctual one does as long as it is. A late one waits if its turn is sure to come
-// before its caller leaves: it can come back instead. An interrupted one waits unless
-// its turn is sure to come too late: its caller holds a part of the answer, and has
-// made its further try already.
+// MayWait reports whether a request for which there is no slot waits for one. A request
+// that can still be on time waits as long as that holds. A late request waits only if it
+// is sure to get a slot before its caller leaves, since the caller can retry instead. An
+// interrupted one waits unless it is sure to get no slot in time: its caller has a part
+// of the answer, and has used its retry already.
 func MayWait(r Request, s Situation) bool {
 	urgency := r.Urgency()
-	turn := s.Turn()
+	delay := s.QueueDelay()
 	switch {
 	case urgency == Hopeless:
 		return false
@@ -70,12 +71,12 @@
 	case urgency == Punctual && s.Back < r.Spare():
 		return true
 	case r.Interrupted && s.Back > 0:
-		return s.Back/doubt < r.PlacesBefore() // there will be room at first
-	case turn == never:
+		return s.Back/safetyFactor < r.PlacesBefore() // the slots are free when the outage ends
+	case delay == never:
 		return false
 	case r.Interrupted:
-		return turn/doubt < r.PlacesBefore()
+		return delay/safetyFactor < r.PlacesBefore()
 	default:
-		return turn*doubt < r.PlacesBefore()
+		return delay*safetyFactor < r.PlacesBefore()
 	}
 }
