--- a/entry/admission/stand.go
+++ b/entry/admission/stand.go
@@ -12,8 +12,8 @@
 	// outageWeight is the weight of the latest outage in the smoothed length.
 	outageWeight = 0.5
 	// overdueFraction is the expected remaining time of an outage that lasts longer than
-	// usual, as a fraction of the time that it has lasted: the longer an outage has lasted, the
-	// longer it is likely to go on.
+	// usual, as a fraction of the time that it has lasted: the longer an outage has
+	// lasted, the longer it is likely to go on.
 	overdueFraction = 0.25
 	// minRemaining is the least expected remaining time of an outage that has not ended.
 	minRemaining = 100 * time.Millisecond
--- a/entry/balance/ended_test.go
+++ b/entry/balance/ended_test.go
@@ -8,8 +8,8 @@
 )
 
 // Guards against sending requests to a process that has ended. After a host was lost,
-// each gateway needed three refused connections to eject a server on it: 34 attempts in 3
-// s on seven gateways.
+// each gateway needed three refused connections to eject a server on it: 34 attempts
+// in 3 s on seven gateways.
 func TestAnEndedServerGetsNoRequests(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b")
--- a/entry/balance/pace.go
+++ b/entry/balance/pace.go
@@ -149,10 +149,10 @@
 	return longest
 }
 
-// expectedGap returns the known gap on a usable server, or the longest known gap of the
-// service if no gateway has a stream on the server. Otherwise, while passes are long,
-// streams would all go to the few servers with an unknown gap: 31 of 117 streams went to
-// one of 63 servers.
+// expectedGap returns the known gap on a usable server, or the longest one of the service
+// if no gateway has a stream on the server. Otherwise, while passes are long, streams
+// would all go to the few servers with an unknown gap: 31 of 117 streams went to one of
+// 63 servers.
 func (s *shard) expectedGap(i int, now time.Time) time.Duration {
 	if known := s.knownGap(i, now); known > 0 {
 		return known
--- a/entry/balance/probation_test.go
+++ b/entry/balance/probation_test.go
@@ -20,8 +20,8 @@
 	is.Equal(r.Load("s", start.Add(suspectTime+time.Second)).Servers, 3)
 }
 
-// After a probation, late requests get a growing share of the slots. On-time requests arrive at
-// their usual rate, without a backlog, and are bounded by the length of passes.
+// After a probation, late requests get a growing share of the slots. On-time requests
+// arrive at their usual rate, without a backlog, and are bounded by the length of passes.
 func TestLateRequestsStartSlowlyAfterAProbation(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b", "c")
@@ -79,8 +79,8 @@
 	is.Equal(found, Available)
 }
 
-// While passes are long, servers without a stream must not be preferred to the others of their
-// group: otherwise all streams would go to these few.
+// While passes are long, servers without a stream must not be preferred to the others of
+// their group: otherwise all streams would go to these few.
 func TestAnUnknownGapIsAssumedToBeTheLongestKnown(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b")
@@ -147,8 +147,8 @@
 	}
 }
 
-// Servers whose agents report that their group was formed get requests immediately: neither a
-// successful probe nor the end of earlier measurements is needed.
+// Servers whose agents report that their group was formed get requests immediately:
+// neither a successful probe nor the end of earlier measurements is needed.
 func TestAFormedGroupGetsRequestsImmediately(t *testing.T) {
 	is := is.New(t)
 	var formed time.Time
--- a/entry/balance/registry.go
+++ b/entry/balance/registry.go
@@ -394,9 +394,9 @@
 )
 
 // Admits returns an error if a request that was already assigned to the server must no
-// longer be sent to it: ErrLeaving if the server is no longer listed, drains, is in an
-// evacuated availability zone or was replaced at its address, and ErrResting during its
-// backoff.
+// longer be sent to it. The error tells whether the server is in a backoff or takes no new
+// requests: because it is no longer listed, drains, is in an evacuated availability zone
+// or was replaced at its address.
 func (r *Registry) Admits(server *Server, now time.Time) error {
 	s := r.shard(server.Service)
 	s.mu.Lock()
--- a/entry/balance/registry_test.go
+++ b/entry/balance/registry_test.go
@@ -15,7 +15,7 @@
 // at returns a source position with the revision.
 func at(revision uint64) source.Position { return source.Position{Revision: revision} }
 
-// gracePeriod is the grace period of servers that are missing after an outage of the source.
+// gracePeriod is for how long servers that are missing after an outage are retained.
 const gracePeriod = 1500 * time.Millisecond
 
 // peerLoad is a fixed load of other gateways.
--- a/entry/balance/slow.go
+++ b/entry/balance/slow.go
@@ -6,10 +6,10 @@
 	// so any request sent to it makes the pass longer for all ranks. The value assumes
 	// engines whose fixed part is three to seven times the time that a full batch adds.
 	slowCost = 3.0
-	// slowAt is the slowdown from which a rank gets no streams while most
-	// ranks run at normal speed, even if those are full: with 12 requests on a rank that
-	// is 3.3 times as slow, passes of its group take 137 ms instead of 108 ms, which is
-	// late for all streams.
+	// slowAt is the slowdown from which a rank gets no streams while most ranks run at
+	// normal speed, even if those are full: with 12 requests on a rank that is 3.3 times
+	// as slow, passes of its group take 137 ms instead of 108 ms, which is late for all
+	// streams.
 	slowAt = 1.3
 )
 
--- a/entry/balance/spread_test.go
+++ b/entry/balance/spread_test.go
@@ -76,10 +76,10 @@
 		}
 		return highest
 	}
-	herd, level := most(0), most(perInterval) // the mean is 5.3
-	t.Logf("most on one server: %d, with the unreported taken in %d", herd, level)
-	is.True(herd > 30)
-	is.True(level < 16)
+	without, with := most(0), most(perInterval) // the mean is 5.3
+	t.Logf("most on one server: %d, with the unreported taken in %d", without, with)
+	is.True(without > 30)
+	is.True(with < 16)
 }
 
 func TestArrivalsAreMeasured(t *testing.T) {
