--- a/agent/group/lead.go
+++ b/agent/group/lead.go
@@ -87,7 +87,7 @@
 			l.record(timeline.KindSwitch, stage.String(), fmt.Sprintf("step %d", l.coord.Step()))
 		}
 	}
-	s.highest[name] = l.coord.Highest()
+	s.highest[name] = l.coord.HighestFence()
 	if l.coord.Stage() == mapswitch.StageSuperseded {
 		s.hear(name)
 		return
--- a/agent/group/message.go
+++ b/agent/group/message.go
@@ -73,7 +73,7 @@
 func replyFromWire(w *wire.SwitchReply) mapswitch.Reply {
 	return mapswitch.Reply{
 		OK: w.GetOk(), Superseded: w.GetSuperseded(), Reason: w.GetReason(), Fence: w.GetFence(),
-		Incarnation: vm.Incarnation(w.GetIncarnation()), Incomplete: w.GetBaseUnknown(),
+		Incarnation: vm.Incarnation(w.GetIncarnation()), BaseUnknown: w.GetBaseUnknown(),
 		State: engine.ExpertState{
 			Step: w.GetStep(), Active: w.GetActive(), Loaded: w.GetArmed(), Hold: w.GetArmedStep(),
 			Activate: w.GetCommitted(), Speed: w.GetSpeed(), Epoch: w.GetEpoch(),
--- a/agent/group/orders.go
+++ b/agent/group/orders.go
@@ -78,7 +78,7 @@
 	var out []*batch
 	for _, o := range orders {
 		relay := o.Rank
-		if !o.Again && o.Rank != l.rank {
+		if !o.Resent && o.Rank != l.rank {
 			relay = l.relayOf(l.chunkOf(o.Rank), now)
 		}
 		base, _ := l.maps.base(o.Rank)
@@ -122,7 +122,7 @@
 // whether it did. A VM is most likely to be missed just after it gave that order, and
 // one that has a rank then keeps the group at a stand: for 4 s, as long as it was frozen.
 func (l *leadership) askHold(o mapswitch.Outgoing) bool {
-	if o.Order.Phase != mapswitch.PhaseHold || o.Again || l.set.env.AskHold == nil {
+	if o.Order.Phase != mapswitch.PhaseHold || o.Resent || l.set.env.AskHold == nil {
 		return false
 	}
 	l.set.env.AskHold(l.set.env.World.Find(l.spec.Ranks[o.Rank]), o.Order.Epoch, o.Order.Step)
--- a/agent/mapswitch/coordinator.go
+++ b/agent/mapswitch/coordinator.go
@@ -9,14 +9,14 @@
 	"baywall.example/core/vm"
 )
 
-// fenceRankBits is the width of the rank in a fencing number. The rank makes
-// the numbers of two coordinators differ.
+// fenceRankBits is the width of the rank in a fencing number. The rank makes the numbers
+// of two coordinators differ.
 const fenceRankBits = 16
 
-// NextFence returns a fencing number for a rank's coordinator that is larger
-// than the highest one heard. Its upper part is at least the wall clock in
-// milliseconds: a restarted agent has forgotten which numbers its predecessor
-// used, and must not use one of them again.
+// NextFence returns a fencing number for a rank's coordinator that is larger than the
+// highest one seen. Its upper part is at least the wall clock in milliseconds: a
+// restarted agent no longer knows which numbers its predecessor used, and must not reuse
+// one of them.
 func NextFence(highest uint64, rank int, wall time.Time) uint64 {
 	counter := max(highest>>fenceRankBits+1, uint64(wall.UnixMilli()))
 	return counter<<fenceRankBits | uint64(rank)
@@ -25,15 +25,15 @@
 // versionRankBits is the width of the rank in a version.
 const versionRankBits = 10
 
-// firstVersion returns the lowest version that the fence's coordinator gives to
-// a map. An order of an earlier coordinator may still be on its way; so versions
-// are unique, and larger than those of any earlier coordinator.
+// firstVersion returns the lowest version that the fence's coordinator assigns to a map.
+// Versions are unique, and larger than those of any earlier coordinator, because an order
+// of an earlier coordinator may still be in flight.
 func firstVersion(fence uint64) uint64 {
 	rank := fence & (1<<fenceRankBits - 1)
 	return fence>>fenceRankBits<<versionRankBits | rank&(1<<versionRankBits-1)
 }
 
-// Stage is where a Coordinator stands.
+// Stage is a state of a Coordinator.
 type Stage int
 
 // Stages of a Coordinator.
@@ -41,10 +41,10 @@
 	StageReading Stage = iota + 1
 	StageIdle          // every rank runs the same map and none is armed
 	StagePreparing
-	StageHolding    // one rank is made to hold a step
-	StageCommitting // every rank is told to use the new map from that step on
+	StageHolding    // the lock holder is ordered to hold a step
+	StageCommitting // every rank is ordered to use the new map from that step on
 	StageReleasing  // the group may begin the step
-	StageSuperseded // another coordinator has a larger number; start over
+	StageSuperseded // another coordinator has a larger fencing number; start over
 )
 
 // String returns the stage's name.
@@ -52,18 +52,18 @@
 	return [...]string{"", "reading", "idle", "preparing", "holding", "committing", "releasing", "superseded"}[s]
 }
 
-// Timing holds a Coordinator's times. Zero fields get the defaults.
+// Timing holds the timeouts and lead times of a Coordinator. Zero fields get the
+// defaults.
 type Timing struct {
-	// Prepare is how long loading may take before it is given up. Default 30s.
+	// Prepare is how long loading may take before the switch is abandoned. Default 30s.
 	Prepare time.Duration
-	// Resend is the time after which an unanswered order is sent again.
-	// Default 200ms.
+	// Resend is the time after which an unanswered order is sent again. Default 200ms.
 	Resend time.Duration
-	// Lead is how many steps ahead of the furthest rank the switch happens at
-	// least; it grows to what the latest switch would have needed so that the
-	// group did not wait. Default 40.
+	// Lead is the minimum number of steps between the most advanced rank and the step of
+	// the switch. It grows to the number of steps that the latest switch would have
+	// needed to keep the group from waiting. Default 40.
 	Lead uint64
-	// MostLead bounds that. Default twice Lead.
+	// MostLead is the upper bound of that number. Default twice Lead.
 	MostLead uint64
 }
 
@@ -83,29 +83,29 @@
 
 // Outgoing is an order to one rank.
 type Outgoing struct {
-	Rank  int
-	Order Order
-	Again bool // it had no answer in time
+	Rank   int
+	Order  Order
+	Resent bool // the order was sent before in this stage and not accepted
 }
 
-// Coordinator drives the ranks of one group. It is not safe for concurrent
-// use: the owner feeds it proposals, replies and ticks one at a time and sends
-// what it returns.
+// Coordinator drives the ranks of one group. It is not safe for concurrent use: its owner
+// passes it proposals, replies and ticks one at a time and sends the orders that it
+// returns.
 type Coordinator struct {
-	timing  Timing
-	fence   uint64
-	highest uint64
-	stage   Stage
-	since   time.Time // of the stage
-	ranks   []rankState
-	target  expertmap.Map
-	step    uint64
-	holder  int    // the rank that holds the step of a switch
-	beyond  uint64 // the latest step that any rank is known to have held
-	epoch   uint64 // of the group, as all ranks said when they were read
-	version uint64 // largest version seen on any rank
-	pace    pace
-	held    time.Time // since when ranks are seen to hold a step though no switch is under way
+	timing        Timing
+	fence         uint64
+	highestFence  uint64
+	stage         Stage
+	since         time.Time // when the stage was entered
+	ranks         []rankState
+	target        expertmap.Map
+	step          uint64
+	lockHolder    int    // the rank that holds the step of a switch
+	maxHeldStep   uint64 // the latest step that any rank is known to have held
+	epoch         uint64 // of the group, as all ranks reported it when they were read
+	version       uint64 // largest version seen on any rank
+	leadEstimator leadEstimator
+	held          time.Time // when ranks were first seen to hold a step without a switch in progress
 	// committed is the version of the latest switch, 0 = none yet.
 	committed uint64
 }
@@ -118,36 +118,37 @@
 	tried       bool // the order of this stage was sent
 }
 
-// NewCoordinator returns a coordinator with the fencing number that reads all
-// ranks first.
+// NewCoordinator returns a coordinator with the fencing number. It begins by reading all
+// ranks.
 func NewCoordinator(ranks int, fence uint64, timing Timing, now time.Time) *Coordinator {
 	timing.provision()
-	c := &Coordinator{timing: timing, fence: fence, highest: fence, holder: holderOf(fence, ranks), ranks: make([]rankState, ranks)}
+	c := &Coordinator{timing: timing, fence: fence, highestFence: fence, lockHolder: lockHolderOf(fence, ranks), ranks: make([]rankState, ranks)}
 	c.enter(StageReading, now)
 	return c
 }
 
-// holderOf returns the rank that holds steps for the fence's coordinator: not its own,
-// so that the group can go on when its VM freezes.
-func holderOf(fence uint64, ranks int) int {
+// lockHolderOf returns the rank that holds steps for the fence's coordinator. It is not
+// the coordinator's own rank, so that the group can continue when the coordinator's VM
+// freezes.
+func lockHolderOf(fence uint64, ranks int) int {
 	rank := int(fence & (1<<fenceRankBits - 1))
 	return (rank + 1) % ranks
 }
 
-// Stage returns where the coordinator stands.
+// Stage returns the coordinator's current stage.
 func (c *Coordinator) Stage() Stage { return c.stage }
 
 // Fence returns the coordinator's fencing number.
 func (c *Coordinator) Fence() uint64 { return c.fence }
 
-// Highest returns the largest fencing number heard.
-func (c *Coordinator) Highest() uint64 { return c.highest }
+// HighestFence returns the largest fencing number seen.
+func (c *Coordinator) HighestFence() uint64 { return c.highestFence }
 
 // Step returns the step of the latest switch.
 func (c *Coordinator) Step() uint64 { return c.step }
 
-// InEffect reports whether a rank that uses the version has taken the latest
-// switch. Until all ranks have, no other one can be prepared.
+// InEffect reports whether a rank that uses the version has made the latest switch. Until
+// all ranks have, no other switch can be prepared.
 func (c *Coordinator) InEffect(active uint64) bool {
 	return c.committed == 0 || active >= c.committed
 }
@@ -163,7 +164,7 @@
 	return out
 }
 
-// States returns what the ranks last said.
+// States returns the state that each rank reported last.
 func (c *Coordinator) States() []engine.ExpertState {
 	out := make([]engine.ExpertState, len(c.ranks))
 	for i, r := range c.ranks {
@@ -175,33 +176,33 @@
 func (c *Coordinator) enter(s Stage, now time.Time) {
 	c.stage, c.since = s, now
 	for i := range c.ranks {
-		c.ranks[i].done = !c.concerns(i)
+		c.ranks[i].done = !c.hasOrderFor(i)
 		c.ranks[i].sent = time.Time{}
 		c.ranks[i].tried = false
 	}
 }
 
-// concerns reports whether the stage has an order for the rank.
-func (c *Coordinator) concerns(rank int) bool {
+// hasOrderFor reports whether the stage has an order for the rank.
+func (c *Coordinator) hasOrderFor(rank int) bool {
 	switch c.stage {
 	case StageHolding:
-		return rank == c.holder
+		return rank == c.lockHolder
 	case StageReleasing:
-		return c.ranks[rank].state.Hold != 0 || rank == c.holder && c.target.Version != 0
+		return c.ranks[rank].state.Hold != 0 || rank == c.lockHolder && c.target.Version != 0
 	default:
 		return true
 	}
 }
 
-// postpone lets the resend time pass before the stage's first orders.
+// postpone delays the stage's first orders by the resend interval.
 func (c *Coordinator) postpone(now time.Time) {
 	for i := range c.ranks {
 		c.ranks[i].sent = now
 	}
 }
 
-// Propose starts a switch to the map, whose version it sets. A switch that is only
-// being prepared is given up for it: no rank holds a step yet. It reports false in
+// Propose starts a switch to the map and sets the map's version. A switch that is still
+// being prepared is abandoned for it, as no rank holds a step yet. It returns false in
 // any other stage.
 func (c *Coordinator) Propose(m expertmap.Map, now time.Time) bool {
 	if c.stage != StageIdle && c.stage != StagePreparing {
@@ -217,7 +218,7 @@
 // Tick applies timeouts and returns the orders that are due.
 func (c *Coordinator) Tick(now time.Time) []Outgoing {
 	if c.stage == StagePreparing && now.Sub(c.since) > c.timing.Prepare {
-		c.enter(StageIdle, now) // nothing is held yet: this ends the switch
+		c.enter(StageIdle, now) // no step is held yet, so the switch can be abandoned
 	}
 	return c.due(now)
 }
@@ -232,14 +233,15 @@
 		if r.done || !r.sent.IsZero() && now.Sub(r.sent) < c.resend() {
 			continue
 		}
-		out = append(out, Outgoing{Rank: i, Order: c.order(i), Again: r.tried})
+		out = append(out, Outgoing{Rank: i, Order: c.order(i), Resent: r.tried})
 		r.sent, r.tried = now, true
 	}
 	return out
 }
 
-// loadResend is how much longer than others the answer to an order to load experts is
-// waited for: it comes once the copies are there, and the order is the largest of all.
+// loadResend is the factor by which the resend interval of an order to load experts is
+// longer than that of others: the answer comes only when the copies are complete, and the
+// order is the largest of all.
 const loadResend = 4
 
 func (c *Coordinator) resend() time.Duration {
@@ -266,7 +268,7 @@
 	return o
 }
 
-// phase returns the phase whose replies count in the present stage.
+// phase returns the phase whose replies are accepted in the present stage.
 func (c *Coordinator) phase() Phase {
 	switch c.stage {
 	case StageReading:
@@ -284,9 +286,9 @@
 	}
 }
 
-// Receive takes a rank's reply to an order and returns the orders that are due.
+// Receive processes a rank's reply to an order and returns the orders that are due.
 func (c *Coordinator) Receive(rank int, to Order, r Reply, now time.Time) []Outgoing {
-	c.highest = max(c.highest, r.Fence)
+	c.highestFence = max(c.highestFence, r.Fence)
 	if to.Fence != c.fence || to.Phase != c.phase() || c.late(to) {
 		return nil
 	}
@@ -295,10 +297,10 @@
 		return nil
 	}
 	if !r.OK {
-		if r.Incomplete {
-			c.ranks[rank].sent = time.Time{} // it is sent in full at once: in place of 0.6 s later
+		if r.BaseUnknown {
+			c.ranks[rank].sent = time.Time{} // resend with the whole map at once instead of 0.6 s later
 		}
-		c.missed(r, now)
+		c.handleRefusal(r, now)
 		return c.due(now)
 	}
 	c.ranks[rank].incarnation = r.Incarnation
@@ -310,8 +312,7 @@
 	return c.due(now)
 }
 
-// late reports whether a reply belongs to an earlier switch of this
-// coordinator.
+// late reports whether a reply belongs to an earlier switch of this coordinator.
 func (c *Coordinator) late(to Order) bool {
 	switch to.Phase {
 	case PhaseRead:
@@ -323,74 +324,75 @@
 	}
 }
 
-// advance leaves a stage in which every rank has answered.
+// advance moves on from a stage in which every rank has answered.
 func (c *Coordinator) advance(now time.Time) {
 	switch c.stage {
 	case StageReading:
 		c.recover(now)
 	case StagePreparing:
-		c.hold(c.furthest()+c.lead(), now)
+		c.hold(c.latestStep()+c.leadSteps(), now)
 	case StageHolding:
 		c.enter(StageCommitting, now)
 	case StageCommitting:
 		c.committed = c.target.Version
-		c.pace.switched(now)
+		c.leadEstimator.switchEnded(now)
 		c.enter(StageReleasing, now)
 	case StageReleasing:
 		c.enter(StageIdle, now)
 	}
 }
 
-// hold begins to hold a step, which no rank has held before: an order to release that
-// step may still be on its way to a rank that held it.
+// hold begins to hold a step, one that no rank has held before: an order to release a
+// step that was held before may still be in flight to the rank that held it.
 func (c *Coordinator) hold(step uint64, now time.Time) {
-	c.step = max(step, c.beyond+1)
-	c.beyond = c.step
-	c.pace.began(c.furthest(), now)
+	c.step = max(step, c.maxHeldStep+1)
+	c.maxHeldStep = c.step
+	c.leadEstimator.switchStarted(c.latestStep(), now)
 	c.enter(StageHolding, now)
 }
 
-// missed handles a refusal. A hold is refused if its step has begun; then no
-// rank holds it, nor ever will, and a later step can be taken.
-func (c *Coordinator) missed(r Reply, now time.Time) {
+// handleRefusal handles a refused order. An order to hold is refused if its step has
+// begun; no rank holds that step then, nor ever will, so a later step can be chosen.
+func (c *Coordinator) handleRefusal(r Reply, now time.Time) {
 	if c.stage == StageHolding && r.State.Step >= c.step && r.State.Epoch == c.epoch {
-		c.hold(r.State.Step+2*c.lead(), now)
+		c.hold(r.State.Step+2*c.leadSteps(), now)
 	}
 }
 
-// lead returns how many steps ahead the next switch happens.
-func (c *Coordinator) lead() uint64 {
-	return min(c.timing.MostLead, max(c.timing.Lead, c.pace.steps()))
+// leadSteps returns the number of steps between the most advanced rank and the next
+// switch.
+func (c *Coordinator) leadSteps() uint64 {
+	return min(c.timing.MostLead, max(c.timing.Lead, c.leadEstimator.steps()))
 }
 
-// heldPatience is for how long ranks may be seen to hold a step while no switch is under
-// way: what was seen may be older than the end of the latest one.
-const heldPatience = 300 * time.Millisecond
+// heldWaitLimit is how long ranks may be seen to hold a step while no switch is in
+// progress: the observation may be older than the end of the latest switch.
+const heldWaitLimit = 300 * time.Millisecond
 
-// Observe notes the step that the group has begun, and whether any rank was seen to hold
-// one. Where one does for longer than the end of a switch explains, as after an order
-// that was carried out late, the group stands, and this coordinator reads all ranks anew
-// to finish what is there.
+// Observe records the step that the group has begun and whether any rank was seen to hold
+// a step. If a rank holds one for longer than the end of a switch explains, for example
+// after an order that was carried out late, the group is stopped. The coordinator then
+// reads all ranks again to finish what it finds.
 func (c *Coordinator) Observe(step uint64, held bool, now time.Time) {
-	c.pace.observe(step, now)
+	c.leadEstimator.observe(step, now)
 	resting := c.stage == StageIdle || c.stage == StagePreparing
 	switch {
 	case !held || !resting:
 		c.held = time.Time{}
 	case c.held.IsZero():
 		c.held = now
-	case now.Sub(c.held) >= heldPatience:
+	case now.Sub(c.held) >= heldWaitLimit:
 		c.held = time.Time{}
 		c.enter(StageReading, now)
 	}
 }
 
-// recover finishes what an earlier coordinator may have begun.
+// recover finishes a switch that an earlier coordinator may have begun.
 func (c *Coordinator) recover(now time.Time) {
 	c.epoch = c.ranks[0].state.Epoch
 	for _, r := range c.ranks {
 		if r.state.Epoch != c.epoch {
-			c.enter(StageReading, now) // the group is being formed anew
+			c.enter(StageReading, now) // the group is being re-formed
 			c.postpone(now)
 			return
 		}
@@ -402,7 +404,7 @@
 		if r.state.Activate != 0 {
 			c.target = expertmap.Map{Version: r.state.Loaded}
 			c.step = r.state.Activate
-			c.beyond = max(c.beyond, c.step)
+			c.maxHeldStep = max(c.maxHeldStep, c.step)
 			c.enter(StageCommitting, now)
 			return
 		}
@@ -410,15 +412,16 @@
 	c.recoverHold(now)
 }
 
-// recoverHold goes on where ranks hold a step and none is armed. Ranks are armed only
-// once one holds, and all have loaded the version before that. So if all have loaded
-// the same one, the earlier coordinator may have begun to arm it, and this one does
-// the same: the step cannot begin meanwhile. If not, nobody has or ever will.
+// recoverHold continues where ranks hold a step and none is armed. Ranks are armed only
+// after a rank holds the step, and all have loaded the version before that. So if all
+// have loaded the same version, the earlier coordinator may have begun to arm it, and
+// this one continues to: the step cannot begin meanwhile. Otherwise no rank has been or
+// will be armed.
 func (c *Coordinator) recoverHold(now time.Time) {
 	held := uint64(0)
 	loaded := c.ranks[0].state.Loaded
 	for _, r := range c.ranks {
-		c.beyond = max(c.beyond, r.state.Hold)
+		c.maxHeldStep = max(c.maxHeldStep, r.state.Hold)
 		if r.state.Hold != 0 && (held == 0 || r.state.Hold < held) {
 			held = r.state.Hold
 		}
@@ -438,7 +441,7 @@
 	}
 }
 
-func (c *Coordinator) furthest() uint64 {
+func (c *Coordinator) latestStep() uint64 {
 	step := uint64(0)
 	for _, r := range c.ranks {
 		step = max(step, r.state.Step)
--- a/agent/mapswitch/coordinator_test.go
+++ b/agent/mapswitch/coordinator_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// answerAll lets every rank accept the orders, in the given state.
+// answerAll makes every rank accept the orders, in the given state.
 func answerAll(c *Coordinator, orders []Outgoing, s engine.ExpertState, now time.Time) []Outgoing {
 	var next []Outgoing
 	for _, o := range orders {
@@ -32,7 +32,7 @@
 	return c
 }
 
-// A switch for a demand that is gone would only delay the one for the present one.
+// A switch to a map for an outdated demand would delay the switch for the present one.
 func TestAProposalReplacesOneThatIsOnlyPrepared(t *testing.T) {
 	is := is.New(t)
 	c := idleCoordinator(t, Timing{})
@@ -42,19 +42,19 @@
 	second := c.Tick(start)
 	is.True(second[0].Order.Version > first[0].Order.Version)
 	is.Equal(len(answerAll(c, first, engine.ExpertState{Epoch: 1, Loaded: first[0].Order.Version}, start)), 0)
-	is.Equal(c.Stage(), StagePreparing) // what was answered to the first says nothing
+	is.Equal(c.Stage(), StagePreparing) // answers to the first proposal do not count
 	answerAll(c, second, engine.ExpertState{Epoch: 1, Loaded: second[0].Order.Version}, start)
 	is.Equal(c.Stage(), StageHolding)
 	is.True(!c.Propose(expertmap.Map{}, start)) // a rank may hold its step
 }
 
-// The lead follows the present length of a step: where steps are long, one step more
-// is a long time on the old map.
+// The lead depends on the present length of a step: where steps are long, one more step
+// means a long time on the old map.
 func TestTheLeadFollowsTheLengthOfAStep(t *testing.T) {
 	cases := []struct {
-		name   string
-		length time.Duration
-		lead   uint64
+		name      string
+		length    time.Duration
+		leadSteps uint64
 	}{
 		{"short steps", 40 * time.Millisecond, 3},
 		{"usual steps", 60 * time.Millisecond, 2},
@@ -64,16 +64,16 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			c := idleCoordinator(t, Timing{Lead: 1, MostLead: 8})
-			c.pace.took = 60 * time.Millisecond
+			c.leadEstimator.switchDuration = 60 * time.Millisecond
 			for step := range 10 {
 				c.Observe(uint64(step+1), false, start.Add(time.Duration(step)*test.length))
 			}
-			is.Equal(c.lead(), test.lead)
+			is.Equal(c.leadSteps(), test.leadSteps)
 		})
 	}
 }
 
-// slowLoader is an engine whose copies end when it is told.
+// slowLoader is an engine whose loading ends when done is closed.
 type slowLoader struct {
 	simEngine
 	done chan struct{}
@@ -92,8 +92,8 @@
 	return e.state(), nil
 }
 
-// A new coordinator must not wait for the copies that the one before it wanted, and
-// an order of that one is out of date by then.
+// A new coordinator must not wait for the copies that its predecessor ordered. The
+// predecessor's order is superseded by the time the copies are complete.
 func TestAMemberHandlesOrdersWhileItLoads(t *testing.T) {
 	is := is.New(t)
 	e := &slowLoader{simEngine: simEngine{world: &world{step: 1}}, done: make(chan struct{})}
@@ -110,18 +110,19 @@
 	is.True((<-loaded).Superseded)
 }
 
-// A map that is sent as changes to one that the rank's agent does not have is sent again
-// at once: where a proposal replaced another one, some ranks have either.
+// An order with changes to a map that the rank's agent does not have is sent again at
+// once. That happens where one proposal replaced another: some ranks have the first map,
+// others the second.
 func TestAnIncompleteOrderIsSentAgainAtOnce(t *testing.T) {
 	is := is.New(t)
 	c := idleCoordinator(t, Timing{})
 	is.True(c.Propose(expertmap.Map{}, start))
 	orders := c.Tick(start)
 	is.Equal(len(orders), 2)
-	again := c.Receive(1, orders[1].Order, Reply{Incomplete: true, Fence: c.Fence()}, start.Add(time.Millisecond))
+	again := c.Receive(1, orders[1].Order, Reply{BaseUnknown: true, Fence: c.Fence()}, start.Add(time.Millisecond))
 	is.Equal(len(again), 1)
 	is.Equal(again[0].Rank, 1)
-	is.True(again[0].Again)
+	is.True(again[0].Resent)
 	refused := c.Receive(0, orders[0].Order, Reply{Reason: "busy", Fence: c.Fence()}, start.Add(time.Millisecond))
 	is.Equal(len(refused), 0)
 }
--- a/agent/mapswitch/explore_test.go
+++ b/agent/mapswitch/explore_test.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// schedules is how many random schedules one run of the tests explores.
+	// schedules is the number of random schedules that one test run explores.
 	schedules = 100_000
-	// scheduleLength is the number of choices in one.
+	// scheduleLength is the number of choices in one schedule.
 	scheduleLength = 60
-	// faultOneIn is how rarely a fault is chosen.
+	// faultOneIn is the inverse probability of choosing a fault.
 	faultOneIn = 6
 )
 
-// randomSchedule runs one schedule and returns what is wrong with it, or "".
+// randomSchedule runs one schedule and returns a description of the violation, or "".
 func randomSchedule(seed uint64, b bugs) string {
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	w := newWorld(2+rnd.IntN(3), rnd.IntN(2) == 0, b, rnd.IntN)
 	for range rnd.IntN(longestPrefix) {
-		w.ordinary()
+		w.stepWithoutFault()
 	}
 	for range scheduleLength {
 		list := w.actions()
@@ -39,7 +39,7 @@
 		}
 	}
 	if !w.settle() {
-		return fmt.Sprintf("did not come to rest: stage %s", w.coords[0].Stage())
+		return fmt.Sprintf("did not become idle: stage %s", w.coords[0].Stage())
 	}
 	if w.mixed {
 		return "ranks used different maps in one step while settling"
@@ -47,8 +47,8 @@
 	return ""
 }
 
-// ExploreSchedules runs schedules on all cores until one is wrong. The worlds of
-// both test packages use it.
+// ExploreSchedules runs schedules on all cores until one violates a property. The
+// simulations of both test packages use it.
 func ExploreSchedules(n uint64, schedule func(seed uint64) (problem string)) (seed uint64, problem string) {
 	var next, badSeed atomic.Uint64
 	var bad atomic.Pointer[string]
@@ -83,13 +83,13 @@
 	}
 }
 
-func TestPlantedBugsAreFound(t *testing.T) {
+func TestInjectedBugsAreFound(t *testing.T) {
 	cases := []struct {
 		name string
 		bugs bugs
 	}{
 		{"release before all are armed", bugs{releaseBeforeAllArmed: true}},
-		{"held steps taken back", bugs{releaseOnRecover: true}},
+		{"held steps released by a new coordinator", bugs{releaseOnRecover: true}},
 		{"fence skipped", bugs{skipFence: true}},
 	}
 	for _, c := range cases {
@@ -103,15 +103,15 @@
 	}
 }
 
-// exhaustiveDepth is the number of choices that are enumerated in full, for a
-// group of 3 ranks; the ordinary course follows.
+// exhaustiveDepth is the number of choices that are enumerated in full, for a group of 3
+// ranks; a run without faults follows.
 const (
 	exhaustiveDepth = 4
 	longestPrefix   = 60
 )
 
-// TestAllShortSchedules goes through every schedule of 3 ranks in which the
-// first choices, faults included, are arbitrary, from each stage of a switch.
+// TestAllShortSchedules explores every schedule of 3 ranks whose first choices, faults
+// included, are arbitrary, starting from each stage of a switch.
 func TestAllShortSchedules(t *testing.T) {
 	is := is.New(t)
 	var total atomic.Int64
@@ -142,12 +142,12 @@
 	}
 }
 
-// scriptedSchedule runs the ordinary course for a prefix, then the scripted
-// choices, then settles. It returns how many choices there were at each point.
+// scriptedSchedule runs without faults for a prefix, then makes the scripted choices,
+// then settles. It returns how many options there were at each choice.
 func scriptedSchedule(prefix int, script []int) (sizes []int, problem string) {
 	w := newWorld(3, false, bugs{}, func(int) int { return 0 })
 	for range prefix {
-		w.ordinary()
+		w.stepWithoutFault()
 	}
 	for _, choice := range script {
 		list := append(w.actions(), w.faults()...)
@@ -158,7 +158,7 @@
 		}
 	}
 	if !w.settle() {
-		return sizes, "did not come to rest"
+		return sizes, "did not become idle"
 	}
 	if w.mixed {
 		return sizes, "ranks used different maps in one step while settling"
@@ -166,8 +166,8 @@
 	return sizes, ""
 }
 
-// ordinary does the next thing of a course without faults.
-func (w *world) ordinary() {
+// stepWithoutFault performs the next action of a run without faults.
+func (w *world) stepWithoutFault() {
 	switch {
 	case len(w.orders) > 0:
 		w.deliverOrder(0, false)
@@ -179,7 +179,7 @@
 	}
 }
 
-// nextScript counts the script up, with the sizes as the digits' bases.
+// nextScript increments the script as a number whose digits have the sizes as bases.
 func nextScript(script, sizes []int) bool {
 	for i := len(script) - 1; i >= 0; i-- {
 		script[i]++
--- a/agent/mapswitch/member.go
+++ b/agent/mapswitch/member.go
@@ -26,44 +26,45 @@
 	return [...]string{"", "read", "prepare", "hold", "commit", "release"}[p]
 }
 
-// Order is what a coordinator asks of one rank.
+// Order is a coordinator's order to one rank.
 type Order struct {
 	Phase       Phase
 	Fence       uint64
-	Incarnation vm.Incarnation // of the member, 0 only with PhaseRead
+	Incarnation vm.Incarnation // of the member; 0 only with PhaseRead
 	Version     uint64
 	Step        uint64
-	Epoch       uint64        // of the group that was read, 0 with PhaseRead
-	Map         expertmap.Map // only with PhasePrepare
+	Epoch       uint64        // of the group that was read; 0 with PhaseRead
+	Map         expertmap.Map // set only with PhasePrepare
 }
 
-// Reply is a rank's answer.
+// Reply is a rank's answer to an Order.
 type Reply struct {
 	OK          bool
 	Superseded  bool // the order's fence or incarnation is out of date
-	Incomplete  bool // the order's map lacked what the rank's agent does not know
+	BaseUnknown bool // the order's map is based on one that the rank's agent does not have
 	Reason      string
-	Fence       uint64 // promised
+	Fence       uint64 // the promised fencing number
 	Incarnation vm.Incarnation
 	State       engine.ExpertState
 }
 
-// Engine is what a Member needs of its engine.
+// Engine is the interface through which a Member controls its rank's engine.
 type Engine interface {
-	// Experts returns the rank's state after every order given so far has taken
-	// effect or become void, as far as this process knows of it.
+	// Experts returns the rank's state after every order sent so far has taken effect or
+	// become void, as far as this process knows.
 	Experts(ctx context.Context) (engine.ExpertState, error)
-	// Observe returns the rank's state as it is now, whatever orders are under way,
-	// with the tokens counted since the last call that asked for counts.
+	// Observe returns the rank's current state, whatever orders are in progress, with the
+	// tokens counted since the last call that requested counts.
 	Observe(ctx context.Context, counts bool) (engine.ExpertState, error)
-	// Order carries out an order and returns the state after it. Loading experts is
-	// only begun.
+	// Order carries out an order and returns the state after it. An order to load experts
+	// only starts loading.
 	Order(ctx context.Context, o engine.Order) (engine.ExpertState, error)
-	// Loaded waits until the rank has loaded a version, and returns its state then.
+	// Loaded waits until the rank has loaded a version, and returns the state at that
+	// time.
 	Loaded(ctx context.Context, version uint64) (engine.ExpertState, error)
 }
 
-// Member is the switch's participant on one rank. It is safe for concurrent
+// Member is the participant of the switch protocol on one rank. It is safe for concurrent
 // use; orders are handled one at a time.
 type Member struct {
 	mu          sync.Mutex
@@ -74,31 +75,31 @@
 	recovered   bool
 }
 
-// preparation is the latest order to load a version.
+// preparation identifies the latest order to load a version.
 type preparation struct{ fence, version uint64 }
 
-// NewMember returns a member that promises nothing until Recovered is called.
+// NewMember returns a member that refuses every order until Recovered is called.
 func NewMember(e Engine, incarnation vm.Incarnation) *Member {
 	return &Member{engine: e, incarnation: incarnation}
 }
 
-// Recovered allows the member to promise. It is called once every order that
-// an earlier incarnation may have given has expired.
+// Recovered allows the member to make promises. It is called once every order that an
+// earlier incarnation may have sent has expired.
 func (m *Member) Recovered() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.recovered = true
 }
 
-// Promised returns the largest fencing number heard.
+// Promised returns the largest fencing number seen.
 func (m *Member) Promised() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.promised
 }
 
-// Handle carries out an order. While experts are loaded other orders are handled,
-// and so are questions for the counts.
+// Handle carries out an order. While experts are loading, other orders and requests for
+// counts are still handled.
 func (m *Member) Handle(ctx context.Context, o Order) Reply {
 	reply := m.handle(ctx, o)
 	if !reply.OK || o.Phase != PhasePrepare || reply.State.Loaded == o.Version {
@@ -113,7 +114,7 @@
 	case o.Fence < m.promised:
 		return m.supersede("a larger fencing number is promised")
 	case state.Epoch != o.Epoch:
-		return m.supersede("the group was formed anew since it was read")
+		return m.supersede("the group was re-formed since it was read")
 	default:
 		return m.accept(state)
 	}
@@ -129,16 +130,17 @@
 	if err != nil {
 		return m.refuse(err.Error())
 	}
-	// A fenced engine may have seen a larger number than this incarnation.
+	// An engine that checks fencing numbers may have seen a larger one than this
+	// incarnation.
 	m.promised = max(m.promised, state.Fence)
 	if reply, ok := m.checkFence(o); !ok {
 		return reply
 	}
 	if o.Phase != PhaseRead && o.Epoch != state.Epoch {
-		return m.supersede("the group was formed anew since it was read")
+		return m.supersede("the group was re-formed since it was read")
 	}
 	m.promised = max(m.promised, o.Fence)
-	return m.carryOut(ctx, o, state)
+	return m.execute(ctx, o, state)
 }
 
 func (m *Member) checkFence(o Order) (Reply, bool) {
@@ -154,7 +156,7 @@
 	return m.supersede("a larger fencing number is promised"), false
 }
 
-func (m *Member) carryOut(ctx context.Context, o Order, s engine.ExpertState) Reply {
+func (m *Member) execute(ctx context.Context, o Order, s engine.ExpertState) Reply {
 	switch o.Phase {
 	case PhaseRead:
 		return m.accept(s)
@@ -163,7 +165,7 @@
 			return m.accept(s)
 		}
 		if m.prepared.fence == o.Fence && o.Version < m.prepared.version {
-			return m.refuseIn(s, "a later version is being loaded")
+			return m.refuseWithState(s, "a later version is being loaded")
 		}
 		m.prepared = preparation{o.Fence, o.Version}
 		return m.order(ctx, engine.Order{Kind: engine.OrderLoad, Fence: o.Fence, Version: o.Version, Map: o.Map.Layers})
@@ -174,7 +176,7 @@
 		case s.Active == o.Version || s.Activate == o.Step && s.Loaded == o.Version:
 			return m.accept(s)
 		case s.Loaded != o.Version:
-			return m.refuseIn(s, "another version is loaded")
+			return m.refuseWithState(s, "another version is loaded")
 		}
 		return m.order(ctx, engine.Order{Kind: engine.OrderActivate, Fence: o.Fence, Version: o.Version, Step: o.Step})
 	case PhaseRelease:
@@ -182,28 +184,29 @@
 		case s.Hold == 0:
 			return m.accept(s)
 		case o.Version == 0 && s.Activate != 0:
-			return m.refuseIn(s, "already committed")
+			return m.refuseWithState(s, "already committed")
 		case o.Version != 0 && s.Activate != o.Step && s.Active != o.Version:
-			return m.refuseIn(s, "not committed")
+			return m.refuseWithState(s, "not committed")
 		}
 		return m.order(ctx, engine.Order{Kind: engine.OrderRelease, Fence: o.Fence, Version: s.Loaded, Step: s.Hold})
 	default:
-		return m.refuseIn(s, "unknown phase")
+		return m.refuseWithState(s, "unknown phase")
 	}
 }
 
-// hold makes the rank hold a step. One that it holds already is for a switch that cannot
-// happen: the coordinator has read all ranks.
+// hold orders the rank to hold a step. If it already holds another step, that step
+// belongs to a switch that cannot happen, as the coordinator has read all ranks; it is
+// released first.
 func (m *Member) hold(ctx context.Context, o Order, s engine.ExpertState) Reply {
 	switch {
 	case s.Loaded == o.Version && (s.Hold == o.Step || s.Activate == o.Step):
 		return m.accept(s) // a copy of the order may arrive after the release
 	case s.Step >= o.Step:
-		return m.refuseIn(s, "the step has begun")
+		return m.refuseWithState(s, "the step has begun")
 	case s.Hold != 0:
 		release := engine.Order{Kind: engine.OrderRelease, Fence: o.Fence, Version: s.Loaded, Step: s.Hold}
 		if _, err := m.engine.Order(ctx, release); err != nil {
-			return m.refuseIn(s, err.Error())
+			return m.refuseWithState(s, err.Error())
 		}
 	}
 	return m.order(ctx, engine.Order{Kind: engine.OrderHold, Fence: o.Fence, Version: o.Version, Step: o.Step})
@@ -225,7 +228,7 @@
 	return Reply{Reason: reason, Fence: m.promised, Incarnation: m.incarnation}
 }
 
-func (m *Member) refuseIn(s engine.ExpertState, reason string) Reply {
+func (m *Member) refuseWithState(s engine.ExpertState, reason string) Reply {
 	r := m.refuse(reason)
 	r.State = s
 	return r
--- a/agent/mapswitch/pace.go
+++ b/agent/mapswitch/pace.go
@@ -3,48 +3,49 @@
 import "time"
 
 const (
-	// paceWindow is the time over which the length of a step is measured at least:
+	// stepLengthWindow is the minimum time over which the length of a step is measured:
 	// steps are seen some tens of milliseconds late.
-	paceWindow = 150 * time.Millisecond
-	// leadReserve is the multiple of what the latest switch took that the next one
-	// is given: a group that reaches the step before all ranks are armed stands.
+	stepLengthWindow = 150 * time.Millisecond
+	// leadReserve is the factor by which the lead of the next switch exceeds the duration
+	// of the latest one: a group that reaches the step before all ranks are armed has to
+	// wait.
 	leadReserve = 1.5
 )
 
-// pace measures how many steps a switch takes, from its first order on.
-type pace struct {
-	step   uint64 // at the begin of the measurement
-	at     time.Time
-	length time.Duration // of one step
-	start  time.Time     // of this switch
-	took   time.Duration // by the latest switch
+// leadEstimator estimates how many steps a switch takes, counted from its first order.
+type leadEstimator struct {
+	step           uint64 // at the start of the measurement
+	windowStart    time.Time
+	stepLength     time.Duration // of one step
+	switchStart    time.Time     // of the current switch
+	switchDuration time.Duration // of the latest switch
 }
 
-func (p *pace) observe(step uint64, now time.Time) {
-	if p.step == 0 || step < p.step {
-		p.step, p.at = step, now
+func (e *leadEstimator) observe(step uint64, now time.Time) {
+	if e.step == 0 || step < e.step {
+		e.step, e.windowStart = step, now
 		return
 	}
-	if step > p.step && now.Sub(p.at) >= paceWindow {
-		p.length = now.Sub(p.at) / time.Duration(step-p.step)
-		p.step, p.at = step, now
+	if step > e.step && now.Sub(e.windowStart) >= stepLengthWindow {
+		e.stepLength = now.Sub(e.windowStart) / time.Duration(step-e.step)
+		e.step, e.windowStart = step, now
 	}
 }
 
-func (p *pace) began(step uint64, now time.Time) {
-	p.observe(step, now)
-	p.start = now
+func (e *leadEstimator) switchStarted(step uint64, now time.Time) {
+	e.observe(step, now)
+	e.switchStart = now
 }
 
-func (p *pace) switched(now time.Time) {
-	if !p.start.IsZero() {
-		p.took = now.Sub(p.start)
+func (e *leadEstimator) switchEnded(now time.Time) {
+	if !e.switchStart.IsZero() {
+		e.switchDuration = now.Sub(e.switchStart)
 	}
 }
 
-func (p *pace) steps() uint64 {
-	if p.length <= 0 {
+func (e *leadEstimator) steps() uint64 {
+	if e.stepLength <= 0 {
 		return 0
 	}
-	return uint64(leadReserve*float64(p.took)/float64(p.length)) + 1
+	return uint64(leadReserve*float64(e.switchDuration)/float64(e.stepLength)) + 1
 }
--- a/agent/mapswitch/ranks_explore_test.go
+++ b/agent/mapswitch/ranks_explore_test.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// rankSchedules is how many random schedules one run of the tests explores.
+	// rankSchedules is the number of random schedules that one test run explores.
 	rankSchedules = 100_000
-	// rankScheduleLength is the number of choices in one.
+	// rankScheduleLength is the number of choices in one schedule.
 	rankScheduleLength = 80
-	// rankFaultOneIn is how rarely a fault is chosen.
+	// rankFaultOneIn is the inverse probability of choosing a fault.
 	rankFaultOneIn = 6
-	// longestRankPrefix bounds the ordinary course before the first fault.
+	// longestRankPrefix bounds the number of fault-free actions before the first fault.
 	longestRankPrefix = 60
 )
 
-// rankSchedule runs one schedule and returns what is wrong with it, or "".
+// rankSchedule runs one schedule and returns a description of the violation, or "".
 func rankSchedule(seed uint64, b rankBugs) string {
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	w := newRankWorld(2+rnd.IntN(3), b, rnd.IntN)
 	for range rnd.IntN(longestRankPrefix) {
-		w.ordinary()
+		w.stepWithoutFault()
 	}
 	for range rankScheduleLength {
 		list := w.actions()
@@ -37,7 +37,7 @@
 		}
 	}
 	if !w.settle() {
-		return fmt.Sprintf("did not come to rest: stage %s", w.coords[0].Stage())
+		return fmt.Sprintf("did not become idle: stage %s", w.coords[0].Stage())
 	}
 	if w.mixed {
 		return "ranks used different maps in one step while settling"
@@ -45,8 +45,8 @@
 	return ""
 }
 
-// ordinary does the next thing of a course without faults.
-func (w *rankWorld) ordinary() {
+// stepWithoutFault performs the next action of a run without faults.
+func (w *rankWorld) stepWithoutFault() {
 	switch {
 	case len(w.orders) > 0:
 		w.deliverOrder(0, false)
@@ -62,13 +62,13 @@
 	return mapswitch.ExploreSchedules(n, func(seed uint64) string { return rankSchedule(seed, b) })
 }
 
-// The ordinary course switches maps, so the schedules are about something.
-func TestTheOrdinaryCourseSwitches(t *testing.T) {
+// A run without faults switches maps. Otherwise the schedules would not test any switch.
+func TestRunWithoutFaultsSwitchesMaps(t *testing.T) {
 	w := newRankWorld(4, rankBugs{}, func(int) int { return 0 })
 	for range 400 {
-		w.ordinary()
+		w.stepWithoutFault()
 	}
-	if w.plans != rankPlans || w.ranks[0].inUse.expert != rankPlans || !w.free() {
+	if w.plans != rankPlans || w.ranks[0].inUse.expert != rankPlans || !w.noneHeld() {
 		t.Fatalf("after %d plans rank 0 uses %+v", w.plans, w.ranks[0].inUse)
 	}
 }
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestPlantedBugsOfUnfencedRanksAreFound(t *testing.T) {
+func TestInjectedBugsOfUnfencedRanksAreFound(t *testing.T) {
 	cases := []struct {
 		name string
 		bugs rankBugs
@@ -87,8 +87,8 @@
 		{"orders without an answer count as done", rankBugs{lostIsDone: true}},
 		{"fence skipped", rankBugs{skipFence: true}},
 		{"release before all are armed", rankBugs{releaseUnarmed: true}},
-		{"commit before any holds", rankBugs{commitUnheld: true}},
-		{"held steps taken back", rankBugs{releaseOnRecover: true}},
+		{"commit before any rank holds the step", rankBugs{commitUnheld: true}},
+		{"held steps released by a new coordinator", rankBugs{releaseOnRecover: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/agent/mapswitch/ranks_world_test.go
+++ b/agent/mapswitch/ranks_world_test.go
@@ -13,29 +13,29 @@
 	"baywall.example/core/vm"
 )
 
-// errNoAnswer is what a lost order or report looks like.
+// errNoAnswer is the error of a lost order or report.
 var errNoAnswer = errors.New("no answer")
 
-// simRank is one rank as platforms without fencing numbers have them: orders
-// may be left unanswered and carried out late, any number of them moves no
-// sequence, and ranks do not compare maps. It implements rank.API.
+// simRank simulates one rank on a platform without fencing numbers: orders may be left
+// unanswered and carried out late, any number of orders may leave the sequence number
+// unchanged, and ranks do not compare maps. It implements rank.API.
 type simRank struct {
-	world    *rankWorld
-	index    int
-	sequence uint64
-	inUse    content
-	prepared content
-	had      uint64 // the highest version that it has had
-	armed    rank.Arming
-	held     uint64
-	late     []rank.Order
+	world       *rankWorld
+	index       int
+	sequence    uint64
+	inUse       content
+	prepared    content
+	maxPrepared uint64 // the highest version that it has prepared
+	armed       rank.Arming
+	held        uint64
+	late        []rank.Order
 
 	member      *mapswitch.Member
 	incarnation vm.Incarnation
 }
 
-// content is a map version with what it places: two maps of one version may
-// differ.
+// content is a map version together with what the map places: two maps of the same
+// version may differ.
 type content struct {
 	version uint64
 	expert  int32
@@ -56,7 +56,8 @@
 
 func (r *simRank) Placement(context.Context) (rank.Placement, error) { return rank.Placement{}, nil }
 
-// Order carries an order out, or leaves it unanswered: done, lost, or late.
+// Order carries out an order or leaves it unanswered; an unanswered order is done, lost
+// or delayed.
 func (r *simRank) Order(_ context.Context, o rank.Order) (rank.Result, error) {
 	if !r.world.lose(r.world.lossyOrders) {
 		return r.do(o), nil
@@ -103,22 +104,22 @@
 }
 
 func (r *simRank) prepare(o rank.Order) bool {
-	if o.Version <= r.had || r.armed.Version != 0 {
+	if o.Version <= r.maxPrepared || r.armed.Version != 0 {
 		return false
 	}
-	r.had = o.Version
+	r.maxPrepared = o.Version
 	r.prepared = content{o.Version, o.Map[0][r.index][0]}
 	r.sequence++ // it copies an expert
 	return true
 }
 
-// rankBugs are mistakes planted on purpose, to see that the checks find them.
+// rankBugs are deliberately injected bugs that the checks have to find.
 type rankBugs struct {
 	lostIsDone       bool // an order without an answer counts as carried out
 	skipFence        bool // members accept orders of superseded coordinators
-	releaseUnarmed   bool // one rank's arming is taken for granted
-	commitUnheld     bool // the hold is taken for granted
-	releaseOnRecover bool // a new coordinator takes back what it finds held
+	releaseUnarmed   bool // one rank counts as armed without being ordered to
+	commitUnheld     bool // the step counts as held without any rank holding it
+	releaseOnRecover bool // a new coordinator releases the steps that it finds held
 }
 
 type rankOrder struct {
@@ -137,22 +138,22 @@
 	rank int
 }
 
-// rankWorld is a group of such ranks with coordinators and a network, in which
-// whoever chooses decides what happens next.
+// rankWorld simulates a group of such ranks with coordinators and a network. The choose
+// function decides what happens next.
 type rankWorld struct {
-	bugs         rankBugs
-	choose       func(n int) int
-	lossyOrders  bool
-	lossyReports bool
-	now          time.Time
-	step, epoch  uint64
-	ranks        []*simRank
-	coords       []*rankCoordinator
-	orders       []rankOrder
-	helped       []rankOrder // holds that were asked of VMs without ranks
-	replies      []rankReply
-	plans        int
-	mixed        bool
+	bugs          rankBugs
+	choose        func(n int) int
+	lossyOrders   bool
+	lossyReports  bool
+	now           time.Time
+	step, epoch   uint64
+	ranks         []*simRank
+	coords        []*rankCoordinator
+	orders        []rankOrder
+	externalHolds []rankOrder // orders to hold that were passed to VMs without ranks
+	replies       []rankReply
+	plans         int
+	mixed         bool
 }
 
 func newRankWorld(ranks int, b rankBugs, choose func(int) int) *rankWorld {
@@ -165,12 +166,13 @@
 	return w
 }
 
-// lossOneIn is how rarely an order or a report is lost while such faults last.
+// lossOneIn is the inverse probability that an order or a report is lost while such
+// faults last.
 const lossOneIn = 3
 
 func (w *rankWorld) lose(lossy bool) bool { return lossy && w.choose(lossOneIn) == 0 }
 
-// restart replaces a rank's agent, whose orders may still be on their way.
+// restart replaces a rank's agent, whose orders may still be in flight.
 func (w *rankWorld) restart(i int) {
 	r := w.ranks[i]
 	r.incarnation++
@@ -180,11 +182,11 @@
 }
 
 func (w *rankWorld) lead(i int) {
-	w.now = w.now.Add(time.Millisecond) // no two starts in one
+	w.now = w.now.Add(time.Millisecond) // no two coordinators start in the same millisecond
 	highest := uint64(0)
 	for _, c := range w.coords {
 		if c.rank == i {
-			highest = max(highest, c.Highest())
+			highest = max(highest, c.HighestFence())
 		}
 	}
 	fence := mapswitch.NextFence(max(highest, w.ranks[i].member.Promised()), i, w.now)
@@ -192,7 +194,7 @@
 	w.coords = append(w.coords, &rankCoordinator{mapswitch.NewCoordinator(len(w.ranks), fence, timing, w.now), i})
 }
 
-// actions lists what can happen; the first ones are the ordinary course.
+// actions lists what can happen next; the first entries belong to a run without faults.
 func (w *rankWorld) actions() []func() {
 	out := []func(){w.tick}
 	if len(w.orders) > 0 {
@@ -201,8 +203,8 @@
 	if len(w.replies) > 0 {
 		out = append(out, func() { w.deliverReply(0) })
 	}
-	if len(w.helped) > 0 {
-		out = append(out, func() { w.help(w.choose(len(w.helped)), false) })
+	if len(w.externalHolds) > 0 {
+		out = append(out, func() { w.holdExternally(w.choose(len(w.externalHolds)), false) })
 	}
 	out = append(out, w.advance)
 	for _, r := range w.ranks {
@@ -213,7 +215,7 @@
 	return out
 }
 
-// faults lists what can go wrong.
+// faults lists the faults that can occur.
 func (w *rankWorld) faults() []func() {
 	any := func() int { return w.choose(len(w.ranks)) }
 	out := []func(){
@@ -222,11 +224,11 @@
 		func() { w.coords = w.coords[:0]; w.lead(any()) },
 		func() { w.lossyOrders = !w.lossyOrders },
 		func() { w.lossyReports = !w.lossyReports },
-		w.formAnew,
+		w.reformGroup,
 		w.replan,
 	}
-	if len(w.helped) > 0 {
-		out = append(out, func() { w.help(0, true) }, func() { w.helped = w.helped[1:] })
+	if len(w.externalHolds) > 0 {
+		out = append(out, func() { w.holdExternally(0, true) }, func() { w.externalHolds = w.externalHolds[1:] })
 	}
 	if len(w.orders) > 0 {
 		out = append(out,
@@ -257,7 +259,7 @@
 	}
 }
 
-// replan proposes another map while one is prepared, as when the demand changes.
+// replan proposes another map while one is being prepared, as after a change of demand.
 func (w *rankWorld) replan() {
 	for _, c := range w.coords {
 		if c.Stage() == mapswitch.StagePreparing {
@@ -267,7 +269,7 @@
 	}
 }
 
-// settled reports whether the coordinator's latest switch is in effect.
+// settled reports whether the coordinator's latest switch is in effect on all ranks.
 func (w *rankWorld) settled(c *rankCoordinator) bool {
 	for _, r := range w.ranks {
 		if !c.InEffect(r.inUse.version) {
@@ -289,18 +291,19 @@
 func (w *rankWorld) send(c *rankCoordinator, out []mapswitch.Outgoing) {
 	for _, o := range out {
 		m := rankOrder{c, o.Rank, o.Order}
-		if o.Order.Phase == mapswitch.PhaseHold && !o.Again {
-			w.helped = append(w.helped, m)
+		if o.Order.Phase == mapswitch.PhaseHold && !o.Resent {
+			w.externalHolds = append(w.externalHolds, m)
 		}
 		w.orders = append(w.orders, m)
 	}
 }
 
-// help lets a VM without a rank give a hold straight to the engine, sooner or later.
-func (w *rankWorld) help(i int, keep bool) {
-	m := w.helped[i]
+// holdExternally lets a VM without a rank send an order to hold directly to the engine,
+// after an arbitrary delay.
+func (w *rankWorld) holdExternally(i int, keep bool) {
+	m := w.externalHolds[i]
 	if !keep {
-		w.helped = append(w.helped[:i:i], w.helped[i+1:]...)
+		w.externalHolds = append(w.externalHolds[:i:i], w.externalHolds[i+1:]...)
 	}
 	r := w.ranks[m.rank]
 	_, _ = r.Order(context.Background(), rank.Order{Kind: rank.OrderHold, Epoch: m.order.Epoch, Step: m.order.Step, AnySequence: true})
@@ -343,15 +346,15 @@
 	r.do(o)
 }
 
-// formAnew is what follows a crash of one rank: the group begins a new epoch
-// with the initial map; the crashed rank has forgotten everything.
-func (w *rankWorld) formAnew() {
+// reformGroup simulates the crash of one rank: the group begins a new epoch with the
+// initial map, and the crashed rank has lost its state.
+func (w *rankWorld) reformGroup() {
 	w.epoch++
 	for _, r := range w.ranks {
 		r.inUse, r.prepared, r.armed, r.held = content{}, content{}, rank.Arming{}, 0
 	}
 	crashed := w.ranks[w.choose(len(w.ranks))]
-	crashed.had, crashed.sequence = 0, 0
+	crashed.maxPrepared, crashed.sequence = 0, 0
 }
 
 // advance begins the next step of the group, unless a rank holds it.
@@ -373,13 +376,12 @@
 	}
 }
 
-// settle ends all faults and runs the ordinary course with one coordinator: the latest,
-// which goes on from where it stands. It reports whether that came to rest with no rank
-// holding.
+// settle ends all faults and runs only the latest coordinator, from its present stage. It
+// reports whether the coordinator became idle with no rank holding a step.
 func (w *rankWorld) settle() bool {
 	w.orders, w.replies = nil, nil
-	for len(w.helped) > 0 {
-		w.help(0, false)
+	for len(w.externalHolds) > 0 {
+		w.holdExternally(0, false)
 	}
 	w.lossyOrders, w.lossyReports = false, false
 	w.plans = rankPlans
@@ -395,7 +397,7 @@
 			w.lead(w.coords[0].rank)
 			w.coords = w.coords[1:]
 		}
-		w.coords[0].Observe(w.step, !w.free(), w.now)
+		w.coords[0].Observe(w.step, !w.noneHeld(), w.now)
 		w.tick()
 		for len(w.orders) > 0 {
 			w.deliverOrder(0, false)
@@ -405,10 +407,10 @@
 		}
 		w.advance()
 	}
-	return w.coords[0].Stage() == mapswitch.StageIdle && w.free()
+	return w.coords[0].Stage() == mapswitch.StageIdle && w.noneHeld()
 }
 
-func (w *rankWorld) free() bool {
+func (w *rankWorld) noneHeld() bool {
 	for _, r := range w.ranks {
 		if r.held != 0 {
 			return false
--- a/agent/mapswitch/world_test.go
+++ b/agent/mapswitch/world_test.go
@@ -12,8 +12,8 @@
 
 var errEngine = errors.New("engine refused the order")
 
-// simEngine is one rank's engine: the rules of the engine stand-in without
-// time.
+// simEngine simulates one rank's engine: it follows the rules of the engine stand-in,
+// without time.
 type simEngine struct {
 	world    *world
 	fenced   bool
@@ -22,7 +22,7 @@
 	loaded   uint64
 	hold     uint64
 	activate uint64
-	// capture, if set, keeps the next order on its way instead of doing it.
+	// capture, if set, collects orders as still in flight instead of carrying them out.
 	capture *[]engine.Order
 }
 
@@ -79,13 +79,13 @@
 	return e.state(), nil
 }
 
-// simRank is one rank: its engine and the agent's member in front of it.
+// simRank is one rank: its engine and the agent's member that controls it.
 type simRank struct {
 	engine      *simEngine
 	member      *Member
 	incarnation vm.Incarnation
 	skew        time.Duration  // of the VM's clock
-	late        []engine.Order // of earlier incarnations, still on their way
+	late        []engine.Order // of earlier incarnations, still in flight
 	recovering  bool
 }
 
@@ -105,15 +105,15 @@
 	rank int
 }
 
-// bugs are mistakes planted on purpose, to see that the checks find them.
+// bugs are deliberately injected bugs that the checks have to find.
 type bugs struct {
-	releaseBeforeAllArmed bool // a rank's arming is taken for granted
-	releaseOnRecover      bool // a new coordinator takes back what it finds held
+	releaseBeforeAllArmed bool // one rank counts as armed without being ordered to
+	releaseOnRecover      bool // a new coordinator releases the steps that it finds held
 	skipFence             bool // members accept orders of superseded coordinators
 }
 
-// world is a group of ranks with coordinators and a network, in which whoever
-// chooses decides what happens next.
+// world simulates a group of ranks with coordinators and a network. The choose function
+// decides what happens next.
 type world struct {
 	bugs    bugs
 	choose  func(n int) int
@@ -140,25 +140,25 @@
 	return w
 }
 
-// timing has a short lead, so that switches fall into short schedules.
+// timing has a short lead, so that switches fit into short schedules.
 var timing = Timing{Lead: 3, Prepare: 2 * time.Second, Resend: 100 * time.Millisecond}
 
 func (w *world) lead(rank int) {
-	w.now = w.now.Add(time.Millisecond) // no two starts in one
+	w.now = w.now.Add(time.Millisecond) // no two coordinators start in the same millisecond
 	highest := w.ranks[rank].member.Promised()
 	for _, c := range w.coords {
 		if c.rank == rank {
-			highest = max(highest, c.Highest())
+			highest = max(highest, c.HighestFence())
 		}
 	}
 	fence := NextFence(highest, rank, w.now.Add(w.ranks[rank].skew))
 	w.coords = append(w.coords, &simCoordinator{NewCoordinator(len(w.ranks), fence, timing, w.now), rank})
 }
 
-// action is something that can happen next.
+// action is an event that can happen next.
 type action func()
 
-// actions lists what can happen; the first ones are the ordinary course.
+// actions lists what can happen next; the first entries belong to a run without faults.
 func (w *world) actions() []action {
 	out := []action{w.tick}
 	if len(w.orders) > 0 {
@@ -178,7 +178,7 @@
 	return out
 }
 
-// faults lists what can go wrong.
+// faults lists the faults that can occur.
 func (w *world) faults() []action {
 	rank := func() int { return w.choose(len(w.ranks)) }
 	out := []action{
@@ -217,7 +217,7 @@
 	}
 }
 
-// replan proposes another map while one is prepared, as when the demand changes.
+// replan proposes another map while one is being prepared, as after a change of demand.
 func (w *world) replan() {
 	for _, c := range w.coords {
 		if c.Stage() == StagePreparing {
@@ -258,7 +258,7 @@
 	w.send(m.coord, m.coord.Receive(m.rank, m.order, m.reply, w.now))
 }
 
-// crashWhileOrdering restarts an agent whose order to its engine is on the way.
+// crashWhileOrdering restarts an agent whose order to its engine is in flight.
 func (w *world) crashWhileOrdering() {
 	m := w.orders[0]
 	w.orders = w.orders[1:]
@@ -304,8 +304,8 @@
 	w.step++
 }
 
-// settle ends all faults and runs the ordinary course with one coordinator. It
-// reports whether that came to rest with no rank holding.
+// settle ends all faults and runs only the latest coordinator. It reports whether the
+// coordinator became idle with no rank holding a step.
 func (w *world) settle() bool {
 	w.orders, w.replies = nil, nil
 	for i, r := range w.ranks {
@@ -333,10 +333,10 @@
 		}
 		w.advance()
 	}
-	return w.coords[0].Stage() == StageIdle && w.free()
+	return w.coords[0].Stage() == StageIdle && w.noneHeld()
 }
 
-func (w *world) free() bool {
+func (w *world) noneHeld() bool {
 	for _, r := range w.ranks {
 		if r.engine.hold != 0 {
 			return false
