--- a/agent/group/codec.go
+++ b/agent/group/codec.go
@@ -7,15 +7,15 @@
 	"baywall.example/core/wire"
 )
 
-// Counts and maps of a large group are what its agents exchange most of, over
-// links of some Mbit/s: a whole map of 96 ranks, 16 layers and 192 experts takes
-// 5 kB for each rank, its counts 3 kB. So counts are sent as one byte an expert, and
-// maps as their changes since the map that the rank got before.
+// Counts and maps make up most of the traffic between the agents of a large group, over
+// links of some Mbit/s: for each rank of a group of 96 ranks, 16 layers and 192 experts, a
+// whole map takes 5 kB and the counts take 3 kB. Counts are therefore sent as one byte per
+// expert, and maps as changes to the map that the rank received before.
 
-// rootSteps is the number of steps in which a root of a count is told.
+// rootSteps is the number of steps in which the square root of a count is encoded.
 const rootSteps = 255
 
-// encodeCounts tells the counts of each layer in one byte an expert.
+// encodeCounts encodes the counts of each layer in one byte per expert.
 func encodeCounts(layers [][]int64) []*wire.LayerCounts {
 	out := make([]*wire.LayerCounts, 0, len(layers))
 	for _, layer := range layers {
@@ -34,7 +34,7 @@
 	return out
 }
 
-// addCounts adds what a rank told to the sums of its group.
+// addCounts adds the counts that a rank reported to the sums of its group.
 func addCounts(sum expertmap.Counts, layers []*wire.LayerCounts) {
 	for l, layer := range layers {
 		for e, root := range layer.GetRoots() {
@@ -46,8 +46,8 @@
 	}
 }
 
-// changesBetween returns the changes that make the second map of the first, or
-// nil if they differ in size.
+// changesBetween returns the changes that turn the base map into the target, or nil if
+// the maps differ in size.
 func changesBetween(base, target expertmap.Map) *wire.MapChanges {
 	if len(base.Layers) != len(target.Layers) {
 		return nil
@@ -68,8 +68,8 @@
 	return out
 }
 
-// applyChanges returns the map that changes make of the base, and whether they fit
-// it.
+// applyChanges returns the map that results from applying the changes to the base, and
+// whether they fit the base.
 func applyChanges(base expertmap.Map, c *wire.MapChanges, version uint64) (expertmap.Map, bool) {
 	out := expertmap.Map{Version: version, Layers: make([][]int32, len(base.Layers))}
 	if base.Version != c.GetBase() || base.Version == 0 || len(c.GetSlots())%2 != 0 {
--- a/agent/group/codec_test.go
+++ b/agent/group/codec_test.go
@@ -37,7 +37,7 @@
 	return m
 }
 
-func TestChangesMakeTheSecondMapOfTheFirst(t *testing.T) {
+func TestChangesTurnBaseIntoTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, target := drawMap(t, "base", 3), drawMap(t, "target", 9)
 		got, ok := applyChanges(base, changesBetween(base, target), 9)
@@ -75,7 +75,7 @@
 	is.Equal(c.last["g"].Layers, [][]int32{{1, expertmap.Empty}})
 }
 
-// What a switch of a large group costs on its links, for docs/CAPACITY.md.
+// The sizes of the messages of a switch in a large group, for docs/CAPACITY.md.
 func TestMessageSizesOfALargeGroup(t *testing.T) {
 	is := is.New(t)
 	const layers, experts, slots = 12, 128, 32 * 5
--- a/agent/group/engine_test.go
+++ b/agent/group/engine_test.go
@@ -19,21 +19,21 @@
 
 var errRefused = eris.New("refused")
 
-// ranks are the engines of a group, which make their steps together.
+// ranks simulates the engines of a group, which run their steps together.
 type ranks struct {
-	mu    sync.Mutex
-	shape expertmap.Shape
-	step  uint64
-	all   []*testRank
-	own   int // holds given by agents of ranks
-	mixed int // steps with more than one map
+	mu         sync.Mutex
+	shape      expertmap.Shape
+	step       uint64
+	all        []*testRank
+	agentHolds int // holds ordered by agents of ranks
+	mixed      int // steps with more than one map
 }
 
 func newRanks(shape expertmap.Shape) *ranks {
 	r := &ranks{shape: shape, step: 1}
 	initial, err := expertmap.Initial(shape)
 	if err != nil {
-		panic(err) // the tests choose the shape
+		panic(err) // the tests choose a valid shape
 	}
 	for i := range shape.Ranks {
 		r.all = append(r.all, &testRank{group: r, index: i, inUse: initial, demand: 0})
@@ -41,7 +41,7 @@
 	return r
 }
 
-// run makes steps until the context ends.
+// run runs steps until the context ends.
 func (r *ranks) run(ctx context.Context) {
 	ticker := time.NewTicker(stepLength)
 	defer ticker.Stop()
@@ -91,7 +91,7 @@
 	}
 }
 
-// versions returns the smallest and largest version in use.
+// versions returns the smallest and the largest version in use.
 func (r *ranks) versions() (least, most uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,12 +115,12 @@
 	return expertmap.Skew(r.all[0].inUse, counts, r.shape.Slots, nil)
 }
 
-// ownHolds returns how many holds were given by agents of ranks, which name a fencing
-// number.
-func (r *ranks) ownHolds() int {
+// agentHoldCount returns how many holds were ordered by agents of ranks, whose orders
+// carry a fencing number.
+func (r *ranks) agentHoldCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.own
+	return r.agentHolds
 }
 
 func (r *ranks) mixedSteps() int {
@@ -129,7 +129,7 @@
 	return r.mixed
 }
 
-// testRank is one rank. It implements mapswitch.Engine.
+// testRank simulates one rank's engine. It implements mapswitch.Engine.
 type testRank struct {
 	group *ranks
 	index int
@@ -137,11 +137,11 @@
 	inUse    expertmap.Map
 	loaded   expertmap.Map
 	loading  expertmap.Map
-	ready    time.Time // when loading is over
+	ready    time.Time // when loading is complete
 	hold     uint64
 	activate uint64
 	demand   int
-	tokens   [][]int64 // since the last look, nil = none yet
+	tokens   [][]int64 // since the last Observe with counts, nil = none yet
 }
 
 func (r *testRank) state() engine.ExpertState {
@@ -189,7 +189,7 @@
 		}
 		r.hold = o.Step
 		if o.Fence != 0 {
-			r.group.own++
+			r.group.agentHolds++
 		}
 	case engine.OrderActivate:
 		if r.group.step >= o.Step {
--- a/agent/group/group.go
+++ b/agent/group/group.go
@@ -1,17 +1,17 @@
-// Package group runs an agent's part in the expert-parallel groups that its VM
-// is a rank of: it serves the orders of the group's coordinator and becomes
-// coordinator itself when none is heard.
+// Package group runs an agent's part in the expert-parallel groups that its VM is a rank
+// of: it handles the orders of the group's coordinator and becomes coordinator itself
+// when it receives none.
 //
-// A rank that hears no coordinator for a time, which grows with its rank
-// number, takes the lead with a larger fencing number; so normally the lowest
-// live rank leads. Two leaders at a time are harmless (package mapswitch). The
-// leader collects token counts, smooths them, plans, and switches when the plan
-// pays for its moves.
+// A rank that hears from no coordinator for a time that grows with its rank number takes
+// over with a larger fencing number; the lowest live rank therefore normally coordinates.
+// Two coordinators at a time are harmless (package mapswitch). The coordinator collects
+// token counts, smooths them, plans, and switches maps when the gain of the plan
+// outweighs the cost of its moves.
 //
-// A leader's cost does not grow with its group: it calls up to 16 ranks, which
-// pass its orders on to the others (tree.go, relay.go), and asks for as many
-// counts as a part of its VM's link allows (sample.go). Polls (collect.go) and
-// plans (plan.go) run aside, so that the ranks hear it meanwhile.
+// A coordinator's cost does not grow with its group: it calls up to 16 ranks, which
+// forward its orders to the others (tree.go, relay.go), and requests as many counts as
+// its share of the VM's link allows (sample.go). Polls (collect.go) and plans (plan.go)
+// run in goroutines of their own, so that orders and polls continue meanwhile.
 package group
 
 import (
@@ -34,39 +34,39 @@
 	"baywall.example/core/wire"
 )
 
-// Timing holds the times of a group's agents. Zero fields get the defaults.
+// Timing holds the intervals, timeouts and thresholds of a group's agents. Zero fields
+// get the defaults.
 type Timing struct {
-	// OrderLifetime is the longest time that an order to an engine may be on
-	// its way; a restarted agent waits it out before it promises anything.
-	// Default 2.5s.
+	// OrderLifetime is the longest time that an order to an engine may be in flight; a
+	// restarted agent waits that long before it makes promises. Default 2.5s.
 	OrderLifetime time.Duration
-	// NoWait tells that an order that takes effect late does no harm, so a
-	// restarted agent need not wait.
+	// NoWait lets a restarted agent skip that wait. It is set where an order that takes
+	// effect late does no harm.
 	NoWait bool
-	// Election is how long rank 0 waits for a coordinator that it has heard
-	// before, First for one that it has never heard; each further rank waits
-	// Stagger longer, those after the first heirs LateStagger. Default 1.5s, Election,
-	// 300ms and Stagger.
+	// Election is how long rank 0 waits for a coordinator that it has had contact with,
+	// First how long for one that it has never had contact with. Each further rank waits
+	// Stagger longer, and each rank after the first successors LateStagger longer.
+	// Defaults 1.5s, Election, 300ms and Stagger.
 	Election, First, Stagger, LateStagger time.Duration
-	// Tick drives a coordinator. Default 50ms.
+	// Tick is the interval at which a coordinator processes timeouts. Default 50ms.
 	Tick time.Duration
-	// Poll is the time between two of the coordinator's heartbeats. Counts,
-	// which are large, are collected once a planning period. Default 500ms.
+	// Poll is the interval between a coordinator's heartbeats. Counts, which are large,
+	// are collected once per planning period. Default 500ms.
 	Poll time.Duration
-	// PollSteps tells that counts are also collected when the group has begun a step
-	// and a planning period is over.
+	// PollSteps lets a poll for counts begin before Poll has passed, once a planning
+	// period is over and the group has begun a new step.
 	PollSteps bool
-	// Switch holds the times of a switch.
+	// Switch configures the timing of switches.
 	Switch mapswitch.Timing
-	// CountsWeight is the weight of the newest counts in the smoothed ones, as long
-	// as the demand does not change. Default 0.4.
+	// CountsWeight is the weight of the newest counts in the smoothed ones while the
+	// demand does not change. Default 0.4.
 	CountsWeight float64
-	// LeastGain is what a switch must bring, in skew times the seconds for which the
-	// demand is expected to last: while experts are copied passes are longer, and a
+	// LeastGain is the gain that a switch must bring, in skew times the seconds for which
+	// the demand is expected to last: passes take longer while experts are copied, and a
 	// change of demand has to wait. Default 0.
 	LeastGain float64
-	// Link is the speed of this VM's link in bytes a second, of which a coordinator
-	// takes a tenth. Default 0: unbounded.
+	// Link is the speed of this VM's link in bytes per second, of which a coordinator
+	// uses a tenth. Default 0: unlimited.
 	Link float64
 }
 
@@ -91,28 +91,28 @@
 	t.CountsWeight = settings.Or(t.CountsWeight, defaultCountsWeight)
 }
 
-// heirTick and lateTick are how many ticks an heir of the coordinator, and another rank,
-// lets pass between two looks whether it has to coordinate: each is a wake-up of the
-// process.
-const heirTick, lateTick = 2, 8
+// successorTicks and otherTicks are how many ticks the first successors of a coordinator,
+// and the other ranks, wait between two checks whether they have to coordinate. Each
+// check wakes the process up.
+const successorTicks, otherTicks = 2, 8
 
 // callTimeout bounds one order to one rank.
 const callTimeout = 2 * time.Second
 
-// World tells which groups there are and where their ranks' agents are.
+// World provides the groups and the addresses of their ranks' agents.
 type World interface {
-	// Groups returns the groups that this VM may be a rank of, by name. A
-	// group's pointer stays the same while the group does.
+	// Groups returns the groups that this VM may be a rank of, by name. A group's pointer
+	// stays the same as long as the group is not re-formed.
 	Groups() map[string]*resource.Group
 	// Intent returns the routing intent of a service.
 	Intent(service string) resource.Intent
-	// Find returns a rank's VM with the address of its links.
+	// Find returns a rank's VM with its link address.
 	Find(id vm.ID) vm.VM
-	// Learn takes over the shape of a group's engines, as its coordinator says.
+	// Learn stores the shape of a group's engines as its coordinator reports it.
 	Learn(shape expertmap.Shape)
 }
 
-// Environment is what groups need of their agent.
+// Environment holds the dependencies of a Set.
 type Environment struct {
 	VM          vm.ID
 	Incarnation vm.Incarnation
@@ -122,11 +122,11 @@
 	Recorder    *timeline.Recorder
 	Log         zerolog.Logger
 	Timing      Timing
-	// InitialMap returns the map that engines of a shape begin with. Nil if that is not
-	// known: then the ranks are asked for it.
+	// InitialMap returns the map that engines of a shape begin with. It is nil if that
+	// map is not known; the coordinator then requests it from the ranks.
 	InitialMap func(expertmap.Shape) expertmap.Map
-	// AskHold asks others, whose VMs have no rank, to make the rank of a VM hold a step in
-	// an epoch. Nil where there is nobody to ask.
+	// AskHold requests other VMs, which have no rank, to order the rank of a VM to hold a
+	// step in an epoch. It is nil if there are no such VMs.
 	AskHold func(rank vm.VM, epoch, step uint64)
 }
 
@@ -138,36 +138,36 @@
 	targets targetCache
 	calls   conc.WaitGroup // to other agents
 
-	highest map[string]uint64 // fencing numbers heard by own coordinators
-	demands map[string]demand // of the groups that this rank coordinated
+	observedFences map[string]uint64 // highest fencing numbers that this agent's coordinators saw, by group
+	demands        map[string]demand // of the groups that this rank coordinated
 
-	mu     sync.Mutex
-	heard  map[string]contact // with a group's coordinator
-	fences map[string]uint64  // the largest heard by group
+	mu             sync.Mutex
+	contacted      map[string]contact // with the coordinator, by group
+	receivedFences map[string]uint64  // largest fencing numbers received, by group
 }
 
-// contact is when a group's coordinator was last heard, or when the group was
-// first seen.
+// contact records when the group's coordinator was last heard from, or, if it never was,
+// when the group was first seen.
 type contact struct {
-	at    time.Time
-	heard bool
-	of    *resource.Group // the group as it was seen last
+	at        time.Time
+	contacted bool            // there was contact with a coordinator
+	spec      *resource.Group // the group as last seen
 }
 
-// NewSet returns the groups of an agent; Run drives them.
+// NewSet returns the groups of an agent; Run starts them.
 func NewSet(env Environment) *Set {
 	env.Timing.provision()
 	return &Set{
-		env:     env,
-		member:  mapswitch.NewMember(env.Engine, env.Incarnation),
-		heard:   make(map[string]contact),
-		fences:  make(map[string]uint64),
-		highest: make(map[string]uint64),
-		demands: make(map[string]demand),
+		env:            env,
+		member:         mapswitch.NewMember(env.Engine, env.Incarnation),
+		contacted:      make(map[string]contact),
+		receivedFences: make(map[string]uint64),
+		observedFences: make(map[string]uint64),
+		demands:        make(map[string]demand),
 	}
 }
 
-// Run takes part in the groups until the context ends.
+// Run participates in the groups until the context ends.
 func (s *Set) Run(ctx context.Context) {
 	if !s.env.Timing.NoWait && !wait.Sleep(ctx, s.env.Timing.OrderLifetime) {
 		return
@@ -175,88 +175,89 @@
 	s.member.Recovered()
 	defer s.calls.Wait()
 	for ctx.Err() == nil {
-		name, rank, ok := s.ledGroup(clock.Now())
+		name, rank, ok := s.groupToCoordinate(clock.Now())
 		if ok {
-			s.lead(ctx, name, rank)
+			s.coordinate(ctx, name, rank)
 		}
-		wait.Sleep(ctx, s.idleTick())
+		wait.Sleep(ctx, s.electionCheckInterval())
 	}
 }
 
-// Formed notes that this rank has just seen its group being formed: nobody coordinates it
-// yet, so there is none to be heard first.
+// Formed records that this rank has just seen its group being formed: nobody coordinates
+// the group yet, so there is no coordinator to wait for.
 func (s *Set) Formed(group string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard[group] = contact{at: clock.Now().Add(-s.env.Timing.First)}
+	s.contacted[group] = contact{at: clock.Now().Add(-s.env.Timing.First)}
 }
 
-// idleTick returns how often a rank that does not coordinate looks whether it has to:
-// seldom if others come before it.
-func (s *Set) idleTick() time.Duration {
+// electionCheckInterval returns how often a rank that does not coordinate checks whether
+// it has to. The interval is longer for ranks behind the first successors.
+func (s *Set) electionCheckInterval() time.Duration {
 	for _, g := range s.env.World.Groups() {
 		if s.rankIn(g) < Heirs {
-			return heirTick * s.env.Timing.Tick
+			return successorTicks * s.env.Timing.Tick
 		}
-		return lateTick * s.env.Timing.Tick
+		return otherTicks * s.env.Timing.Tick
 	}
-	return heirTick * s.env.Timing.Tick // one may be formed at any time
+	return successorTicks * s.env.Timing.Tick // a group may be formed at any time
 }
 
-// ledGroup returns a group of this VM whose coordinator has been silent for
-// longer than this rank waits.
-func (s *Set) ledGroup(now time.Time) (name string, rank int, ok bool) {
+// groupToCoordinate returns a group of this VM whose coordinator has been silent for
+// longer than this rank's election timeout.
+func (s *Set) groupToCoordinate(now time.Time) (name string, rank int, ok bool) {
 	for name, g := range s.env.World.Groups() {
 		rank := s.rankIn(g)
 		if rank < 0 {
 			continue
 		}
-		if s.silent(name, g, rank, now) {
+		if s.electionDue(name, g, rank, now) {
 			return name, rank, true
 		}
 	}
 	return "", 0, false
 }
 
-// silent reports whether the group's coordinator has been silent for longer than
-// this rank waits. One that was never heard need not be waited for as long.
-func (s *Set) silent(name string, g *resource.Group, rank int, now time.Time) bool {
+// electionDue reports whether the group's coordinator has been silent for longer than this
+// rank's election timeout, which is shorter if the rank never had contact with one.
+func (s *Set) electionDue(name string, g *resource.Group, rank int, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c, known := s.heard[name]
+	c, known := s.contacted[name]
 	switch {
 	case !known:
 		c = contact{at: now}
-	case c.of != g && c.heard && now.Sub(c.at) > s.env.Timing.Election:
-		// The group was formed anew, and all ranks see it at the same moment: they take
-		// turns from here on. With six coordinators at once the first map came 0.1 s later.
+	case c.spec != g && c.contacted && now.Sub(c.at) > s.env.Timing.Election:
+		// The group was re-formed, and all ranks see that at the same moment: their
+		// election timeouts start now. With six coordinators at once the first map came
+		// 0.1 s later.
 		c = contact{at: now}
 	}
-	c.of = g
-	s.heard[name] = c
+	c.spec = g
+	s.contacted[name] = c
 	period := s.env.Timing.First
-	if c.heard {
+	if c.contacted {
 		period = s.env.Timing.Election
 	}
-	return now.Sub(c.at) > period+s.turn(rank)
+	return now.Sub(c.at) > period+s.electionDelay(rank)
 }
 
-// Heirs is how many ranks are the first to coordinate a group, in their order. The
-// others only do when all of them are silent.
+// Heirs is the number of ranks that are the first to take over a group, in rank order.
+// The others take over only when all of these are silent.
 const Heirs = 4
 
-// turn returns how much longer than rank 0 a rank waits for a coordinator.
-func (s *Set) turn(rank int) time.Duration {
+// electionDelay returns how much longer than rank 0 a rank waits for a coordinator.
+func (s *Set) electionDelay(rank int) time.Duration {
 	late := max(0, rank-Heirs)
 	return time.Duration(rank-late)*s.env.Timing.Stagger + time.Duration(late)*s.env.Timing.LateStagger
 }
 
-// Heard returns when a coordinator of a group was last heard; the zero time if none
-// was.
+// Heard returns when the coordinator of a group was last heard from, or the zero time if
+// it never was.
 func (s *Set) Heard(group string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c := s.heard[group]; c.heard {
+	if c := s.contacted[group]; c.contacted {
 		return c.at
 	}
 	return time.Time{}
@@ -271,7 +272,7 @@
 	return -1
 }
 
-// Handle serves an order of a coordinator.
+// Handle carries out a coordinator's order.
 func (s *Set) Handle(ctx context.Context, w *wire.SwitchOrder) *wire.SwitchReply {
 	if w.GetShape() != nil {
 		s.env.World.Learn(shapeFromWire(w.GetShape()))
@@ -279,10 +280,10 @@
 	if w.GetPhase() == wire.SwitchPhase_SWITCH_COUNTS {
 		return s.handleCounts(ctx, w)
 	}
-	s.hearOrder(w)
+	s.recordOrder(w)
 	o, ok := s.decode(w)
 	if !ok {
-		return &wire.SwitchReply{Reason: "changes to a map that is not known", BaseUnknown: true, Fence: s.member.Promised()}
+		return &wire.SwitchReply{Reason: "changes to an unknown map", BaseUnknown: true, Fence: s.member.Promised()}
 	}
 	r := s.member.Handle(ctx, o)
 	if !r.OK {
@@ -300,41 +301,42 @@
 	return out
 }
 
-// hearOrder notes that a group has a coordinator, before the order is carried
-// out, as that may take a while. One with an older fence does not count.
-func (s *Set) hearOrder(w *wire.SwitchOrder) {
+// recordOrder records contact with a group's coordinator. It is called before the order
+// is carried out, as that may take a while. An order with an older fence does not count.
+func (s *Set) recordOrder(w *wire.SwitchOrder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w.GetFence() >= s.fences[w.GetGroup()] {
-		s.fences[w.GetGroup()] = w.GetFence()
-		s.hearNow(w.GetGroup())
+	if w.GetFence() >= s.receivedFences[w.GetGroup()] {
+		s.receivedFences[w.GetGroup()] = w.GetFence()
+		s.recordContactLocked(w.GetGroup())
 	}
 }
 
-// hearNow notes that the group's coordinator is heard, under the lock.
-func (s *Set) hearNow(group string) {
-	s.heard[group] = contact{at: clock.Now(), heard: true, of: s.heard[group].of}
+// recordContactLocked records contact with the group's coordinator. The caller holds the
+// lock.
+func (s *Set) recordContactLocked(group string) {
+	s.contacted[group] = contact{at: clock.Now(), contacted: true, spec: s.contacted[group].spec}
 }
 
-func (s *Set) hear(group string) {
+func (s *Set) recordContact(group string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hearNow(group)
+	s.recordContactLocked(group)
 }
 
-// resume lets this rank, which has coordinated the group so far, lead it again at
-// once.
-func (s *Set) resume(group string) {
+// resumeCoordination lets this rank, which coordinated the group until now, coordinate it
+// again at once.
+func (s *Set) resumeCoordination(group string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard[group] = contact{}
+	s.contacted[group] = contact{}
 }
 
 func (s *Set) handleCounts(ctx context.Context, w *wire.SwitchOrder) *wire.SwitchReply {
 	if w.GetFence() < s.member.Promised() {
 		return &wire.SwitchReply{Superseded: true, Fence: s.member.Promised()}
 	}
-	s.hear(w.GetGroup())
+	s.recordContact(w.GetGroup())
 	state, err := s.env.Engine.Observe(ctx, w.GetCounts() || w.GetMark() || w.GetPlacement())
 	if err != nil {
 		return &wire.SwitchReply{Reason: err.Error()}
@@ -344,15 +346,15 @@
 		out.Counts = encodeCounts(state.Counts)
 	}
 	if w.GetPlacement() {
-		own := s.ownPart(w.GetGroup(), state.ActiveMap, int(w.GetShape().GetSlots()))
+		own := s.ownPlacement(w.GetGroup(), state.ActiveMap, int(w.GetShape().GetSlots()))
 		out.Map = expertmap.Map{Version: state.Active, Layers: own}.Wire()
 	}
 	return out
 }
 
-// ownPart returns this rank's experts of a map in use, of which its engine may tell the
+// ownPlacement returns this rank's experts of the map in use. The engine may report the
 // slots of all ranks.
-func (s *Set) ownPart(group string, layers [][]int32, slots int) [][]int32 {
+func (s *Set) ownPlacement(group string, layers [][]int32, slots int) [][]int32 {
 	g := s.env.World.Groups()[group]
 	if g == nil {
 		return layers
--- a/agent/group/group_test.go
+++ b/agent/group/group_test.go
@@ -24,35 +24,37 @@
 	"baywall.example/core/wire"
 )
 
-// agents are the agents of a group's ranks, linked over the loopback network. They
-// implement World.
+// agents holds the agents of a group's ranks, connected over the loopback interface. It
+// also provides the group to them.
 type agents struct {
 	group   *resource.Group
 	all     []*agent
 	engines *ranks
-	// unknown are the ranks that did not know the map to which they were sent changes.
+	// unknown holds the ranks that received changes to a map that they did not have.
 	unknown sync.Map
-	// askHold is what agents ask others to hold a step with, nil = there are none.
+	// askHold handles the agents' requests to other VMs to hold a step; nil = there are
+	// no such VMs.
 	askHold func(rank int, step uint64)
 }
 
-// agent is one of them.
+// agent is the agent of one rank.
 type agent struct {
 	world   *agents
 	set     *Set
 	pool    *link.Pool
 	address string
 	traffic atomic.Int64
-	// deaf lets it pass no order on to others.
-	deaf atomic.Bool
-	// distrusts counts the ranks that, as it logged, did not pass orders on in time.
-	distrusts atomic.Int64
+	// ignoresRelays makes the agent leave orders that it has to forward unanswered.
+	ignoresRelays atomic.Bool
+	// relayFailureCount counts the log lines about ranks that did not forward orders in
+	// time.
+	relayFailureCount atomic.Int64
 }
 
-// Run counts lines of the agent's log. It implements zerolog.Hook.
+// Run counts log lines. It implements zerolog.Hook.
 func (a *agent) Run(_ *zerolog.Event, _ zerolog.Level, message string) {
 	if message == "rank does not pass orders on" {
-		a.distrusts.Add(1)
+		a.relayFailureCount.Add(1)
 	}
 }
 
@@ -78,10 +80,10 @@
 
 func (a *agents) Learn(expertmap.Shape) {}
 
-// ServeStream lets the agent serve another one's orders.
+// ServeStream serves the orders of another agent.
 func (a *agent) ServeStream(ctx context.Context, _ *link.Link, s *link.Stream, call *wire.Call) {
 	relay := call.GetSwitchRelay()
-	if a.deaf.Load() && len(relay.GetTargets()) > 1 {
+	if a.ignoresRelays.Load() && len(relay.GetTargets()) > 1 {
 		<-ctx.Done()
 		return
 	}
@@ -95,7 +97,7 @@
 	})
 }
 
-// newAgents returns the linked agents of a group that does not run yet.
+// newAgents returns the connected agents of a group and starts them.
 func newAgents(t *testing.T, shape expertmap.Shape, timing Timing) *agents {
 	t.Helper()
 	return newAgentsWith(t, shape, timing, &agents{engines: newRanks(shape)})
@@ -148,8 +150,8 @@
 	return out
 }
 
-// quick are times for tests.
-var quick = Timing{
+// testTiming has short times for tests.
+var testTiming = Timing{
 	NoWait: true, Election: 800 * time.Millisecond, First: 50 * time.Millisecond, Stagger: 400 * time.Millisecond,
 	Tick: 10 * time.Millisecond, Poll: 100 * time.Millisecond, PollSteps: true, CountsWeight: 0.2,
 	Switch: mapswitch.Timing{Resend: 300 * time.Millisecond, Lead: 4, MostLead: 40},
@@ -169,8 +171,8 @@
 
 func TestALargeGroupFollowsItsDemand(t *testing.T) {
 	is := is.New(t)
-	timing := quick
-	timing.Switch.Resend = 10 * time.Second // an order that is sent again goes straight to its rank
+	timing := testTiming
+	timing.Switch.Resend = 10 * time.Second // a resent order goes directly to its rank
 	world := newAgents(t, largeGroup, timing)
 	before := world.engines.skew()
 	await(t, "first map in use", 20*time.Second, func() bool { least, _ := world.engines.versions(); return least > 0 })
@@ -180,9 +182,10 @@
 	await(t, "even spread of the new demand", 20*time.Second, func() bool { return world.engines.skew() < 1.35 })
 	is.True(before > 1.35)
 	is.Equal(world.engines.mixedSteps(), 0)
-	// The others are reached through these, but for ranks that took the place of one of
-	// them, and those that were sent a whole map as they did not know the one before.
-	most := mostDirect + int(world.all[0].distrusts.Load())
+	// The other ranks are reached through relays. Exceptions are the ranks that replaced
+	// a relay, and those that were sent a whole map because they did not have the
+	// previous one.
+	most := maxDirectCalls + int(world.all[0].relayFailureCount.Load())
 	world.unknown.Range(func(any, any) bool {
 		most++
 		return true
@@ -190,22 +193,22 @@
 	is.True(len(world.all[0].pool.Links()) <= most)
 }
 
-// What a rank that passes orders on fails to pass on is sent again without it.
-func TestAGroupSwitchesThoughARankPassesNothingOn(t *testing.T) {
+// Orders that a relay fails to forward are resent without it.
+func TestGroupSwitchesWhenRelaysForwardNothing(t *testing.T) {
 	is := is.New(t)
-	world := newAgents(t, largeGroup, quick)
+	world := newAgents(t, largeGroup, testTiming)
 	for _, chunk := range chunks(largeGroup.Ranks, 0)[:5] {
-		world.all[chunk[0]].deaf.Store(true)
+		world.all[chunk[0]].ignoresRelays.Store(true)
 	}
 	await(t, "first map in use", 30*time.Second, func() bool { least, _ := world.engines.versions(); return least > 0 })
 	is.Equal(world.engines.mixedSteps(), 0)
 }
 
-// Polls of a group on slow links leave nine tenths of the coordinator's link alone.
-func TestPollsKeepToTheirPartOfTheLink(t *testing.T) {
+// Polls use at most a tenth of the coordinator's link, also where links are slow.
+func TestPollsStayWithinTheirShareOfTheLink(t *testing.T) {
 	is := is.New(t)
-	timing := quick
-	timing.Link = 300_000 // bytes a second: a tenth is less than what all counts take
+	timing := testTiming
+	timing.Link = 300_000 // bytes per second: a tenth is less than all counts take
 	timing.LeastGain = 1e9
 	world := newAgents(t, largeGroup, timing)
 	coordinator := &world.all[0].traffic
@@ -219,42 +222,44 @@
 	is.True(perSec > 0)
 }
 
-// smallGroup is one whose coordinator calls all ranks itself.
+// smallGroup is a group whose coordinator calls all ranks itself.
 var smallGroup = expertmap.Shape{Ranks: 6, Slots: 4, Layers: 2, Experts: 16}
 
-// Whoever gives the hold of a switch may freeze just after it. So it is given from
-// elsewhere, to a rank that is not the coordinator's, and no agent of a rank gives one.
-func TestAHoldIsGivenByOthers(t *testing.T) {
+// The VM that sends the order to hold may freeze right after it. The order is therefore
+// sent by a VM without a rank, to a rank that is not the coordinator's, and no rank's
+// agent sends one.
+func TestHoldIsOrderedByVMWithoutRank(t *testing.T) {
 	is := is.New(t)
 	world := &agents{engines: newRanks(smallGroup)}
-	var held atomic.Int64 // times that the coordinator's own rank was to hold
+	var held atomic.Int64 // holds requested of the coordinator's own rank
 	world.askHold = func(rank int, step uint64) {
 		if rank == 0 {
 			held.Add(1)
 		}
 		_, _ = world.engines.all[rank].Order(t.Context(), engine.Order{Kind: engine.OrderHold, Step: step})
 	}
-	newAgentsWith(t, smallGroup, quick, world)
+	newAgentsWith(t, smallGroup, testTiming, world)
 	await(t, "first map in use", 20*time.Second, func() bool { least, _ := world.engines.versions(); return least > 0 })
-	is.Equal(world.engines.ownHolds(), 0)
+	is.Equal(world.engines.agentHoldCount(), 0)
 	is.Equal(held.Load(), int64(0))
 	is.Equal(world.engines.mixedSteps(), 0)
 }
 
-// Where nobody gives it, the rank's own agent does.
-func TestAnAgentHoldsItsRankWhereNobodyElseDoes(t *testing.T) {
+// If no other VM sends the order to hold, the rank's own agent does.
+func TestAgentHoldsItsRankIfNoOtherVMDoes(t *testing.T) {
 	is := is.New(t)
 	world := &agents{engines: newRanks(smallGroup)}
 	world.askHold = func(int, uint64) {}
-	newAgentsWith(t, smallGroup, quick, world)
+	newAgentsWith(t, smallGroup, testTiming, world)
 	await(t, "first map in use", 20*time.Second, func() bool { least, _ := world.engines.versions(); return least > 0 })
-	is.True(world.engines.ownHolds() > 0)
+	is.True(world.engines.agentHoldCount() > 0)
 	is.Equal(world.engines.mixedSteps(), 0)
 }
 
-// All ranks see at the same moment that their group was formed anew, long after they
-// heard its coordinator: one of them begins, in their order.
-func TestRanksTakeTurnsToLeadAGroupThatWasFormedAnew(t *testing.T) {
+// All ranks see at the same moment that their group was re-formed, long after their
+// latest contact with its coordinator. They must not all start to coordinate, but in rank
+// order.
+func TestRanksCoordinateAReformedGroupInRankOrder(t *testing.T) {
 	is := is.New(t)
 	timing := Timing{Election: 600 * time.Millisecond, First: 100 * time.Millisecond, Stagger: 150 * time.Millisecond, LateStagger: 25 * time.Millisecond}
 	var sets []*Set
@@ -264,40 +269,40 @@
 	now := time.Unix(1000, 0)
 	before, after := &resource.Group{}, &resource.Group{}
 	for r, s := range sets {
-		s.heard["g"] = contact{at: now, heard: true, of: before}
-		is.True(!s.silent("g", before, r, now))
+		s.contacted["g"] = contact{at: now, contacted: true, spec: before}
+		is.True(!s.electionDue("g", before, r, now))
 	}
 	now = now.Add(2 * time.Second)
 	formed := now
-	is.True(!sets[0].silent("g", after, 0, now))
+	is.True(!sets[0].electionDue("g", after, 0, now))
 	for r, s := range sets[1:] {
-		is.True(!s.silent("g", after, r+1, now))
+		is.True(!s.electionDue("g", after, r+1, now))
 	}
 	now = formed.Add(101 * time.Millisecond)
-	is.True(sets[0].silent("g", after, 0, now))
+	is.True(sets[0].electionDue("g", after, 0, now))
 	for r, s := range sets[1:] {
-		is.True(!s.silent("g", after, r+1, now))
+		is.True(!s.electionDue("g", after, r+1, now))
 	}
-	sets[5].resume("g") // it coordinated the group before
-	is.True(sets[5].silent("g", after, 5, now))
+	sets[5].resumeCoordination("g") // it coordinated the group before
+	is.True(sets[5].electionDue("g", after, 5, now))
 }
 
-// A rank that has seen its group being formed knows that nobody coordinates it.
-func TestRankZeroLeadsAGroupThatItSawBeingFormedAtOnce(t *testing.T) {
+// A rank that has seen its group being formed knows that nobody coordinates it yet.
+func TestRankZeroCoordinatesAtOnceAfterItSawTheGroupForm(t *testing.T) {
 	is := is.New(t)
 	timing := Timing{Election: 600 * time.Millisecond, First: 100 * time.Millisecond, Stagger: 150 * time.Millisecond}
 	g := &resource.Group{}
 	s := NewSet(Environment{VM: "a", Timing: timing})
-	is.True(!s.silent("g", g, 0, time.Now())) // it has just started: it listens first
+	is.True(!s.electionDue("g", g, 0, time.Now())) // just started: it waits for a coordinator first
 	s.Formed("g")
 	soon := time.Now().Add(time.Millisecond)
-	is.True(s.silent("g", g, 0, soon))
-	is.True(!s.silent("g", g, 1, soon))
+	is.True(s.electionDue("g", g, 0, soon))
+	is.True(!s.electionDue("g", g, 1, soon))
 }
 
-// A coordinator plans the first map of a group that was formed anew before a pass of it
-// has been counted.
-func TestACoordinatorRemembersTheDemandOfItsGroup(t *testing.T) {
+// A coordinator plans the first map of a re-formed group before any of its passes has
+// been counted.
+func TestCoordinatorRetainsTheDemandOfItsGroup(t *testing.T) {
 	is := is.New(t)
 	s := NewSet(Environment{VM: "a"})
 	now := time.Unix(1000, 0)
--- a/agent/group/lead.go
+++ b/agent/group/lead.go
@@ -12,35 +12,35 @@
 	"baywall.example/core/timeline"
 )
 
-// leadership is the time during which this rank coordinates one group.
+// leadership is the state of this rank while it coordinates one group.
 type leadership struct {
-	set        *Set
-	name       string
-	rank       int
-	spec       resource.Group
-	chunks     [][]int // the other ranks, by who passes orders on to them
-	distrusted distrust
-	relays     relayTable
-	coord      *mapswitch.Coordinator
-	answers    chan answer
-	maps       maps
-	demand     *expertmap.Demand
-	life       *expertmap.Lifetime
+	set          *Set
+	name         string
+	rank         int
+	spec         resource.Group
+	chunks       [][]int // the other ranks, grouped by the rank that forwards orders to them
+	failedRelays relayFailures
+	relays       relayTable
+	coord        *mapswitch.Coordinator
+	answers      chan answer
+	maps         maps
+	demand       *expertmap.Demand
+	lifetime     *expertmap.Lifetime
 
 	budget   budget
 	rotation rotation
-	polls    chan collection
+	polls    chan pollResult
 	polling  bool
-	polled   time.Time
-	planned  time.Time
+	lastPoll time.Time
+	lastPlan time.Time
 	plans    chan plan
 	planning bool
-	// placement tells that the map in use is not known, and is asked for.
+	// placement is set while the map in use is unknown and has to be requested.
 	placement bool
-	step      uint64 // of the group, when it was polled
+	step      uint64 // step of the group at the latest poll
 
-	described     time.Time // when its state was last logged
-	describedStep uint64    // its step then
+	lastLogged     time.Time // when the group's state was last logged
+	lastLoggedStep uint64    // the group's step at that time
 }
 
 // answer is one rank's reply to one order.
@@ -50,9 +50,9 @@
 	reply mapswitch.Reply
 }
 
-// lead coordinates the group until another coordinator supersedes this one,
-// the group's resource changes, or the context ends.
-func (s *Set) lead(ctx context.Context, name string, rank int) {
+// coordinate drives the group until another coordinator supersedes this one, the group's
+// resource changes, or the context ends.
+func (s *Set) coordinate(ctx context.Context, name string, rank int) {
 	spec := s.env.World.Groups()[name]
 	if spec == nil {
 		return
@@ -60,7 +60,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l := s.newLeadership(name, rank, spec)
-	l.record(timeline.KindLead, "coordinate", fmt.Sprintf("no coordinator heard; fence %d", l.coord.Fence()))
+	l.record(timeline.KindLead, "coordinate", fmt.Sprintf("no contact with a coordinator; fence %d", l.coord.Fence()))
 	ticker := time.NewTicker(s.env.Timing.Tick)
 	defer ticker.Stop()
 	stage := l.coord.Stage()
@@ -72,7 +72,7 @@
 			l.send(ctx, l.coord.Receive(a.rank, a.order, a.reply, clock.Now()))
 		case c := <-l.polls:
 			l.polling = false
-			l.take(c, clock.Now())
+			l.handlePoll(c, clock.Now())
 		case p := <-l.plans:
 			l.planning = false
 			l.propose(p, clock.Now())
@@ -87,25 +87,25 @@
 			l.record(timeline.KindSwitch, stage.String(), fmt.Sprintf("step %d", l.coord.Step()))
 		}
 	}
-	s.highest[name] = l.coord.HighestFence()
+	s.observedFences[name] = l.coord.HighestFence()
 	if l.coord.Stage() == mapswitch.StageSuperseded {
-		s.hear(name)
+		s.recordContact(name)
 		return
 	}
-	s.resume(name) // the group was formed anew
+	s.resumeCoordination(name) // the group was re-formed
 }
 
 func (s *Set) newLeadership(name string, rank int, spec *resource.Group) *leadership {
 	now := clock.Now()
 	ranks := len(spec.Ranks)
-	fence := mapswitch.NextFence(max(s.highest[name], s.member.Promised()), rank, time.Now())
+	fence := mapswitch.NextFence(max(s.observedFences[name], s.member.Promised()), rank, time.Now())
 	known := s.demandOf(name, shapeOf(spec), now)
 	return &leadership{
 		set: s, name: name, rank: rank, spec: *spec, chunks: chunks(ranks, rank),
 		coord:   mapswitch.NewCoordinator(ranks, fence, s.env.Timing.Switch, now),
-		answers: make(chan answer, 4*ranks), polls: make(chan collection, 1), plans: make(chan plan, 1),
-		demand: known.estimate, life: known.life,
-		budget: newBudget(s.env.Timing.Link, ranks, spec.Layers, spec.Experts), planned: now,
+		answers: make(chan answer, 4*ranks), polls: make(chan pollResult, 1), plans: make(chan plan, 1),
+		demand: known.estimate, lifetime: known.lifetime,
+		budget: newBudget(s.env.Timing.Link, ranks, spec.Layers, spec.Experts), lastPlan: now,
 	}
 }
 
@@ -117,33 +117,33 @@
 	l.set.env.Recorder.Record(timeline.Event{Kind: kind, Group: l.name, Choice: choice, Reason: reason})
 }
 
-// poll keeps the ranks from electing another coordinator and, once the period is
-// over, collects counts for a new map. It also does so while a switch is under way: a
-// change of demand is then known by its end, and if a map is only being prepared, another
-// one is prepared instead.
+// poll sends the heartbeat that keeps the ranks from electing another coordinator. Once
+// the planning period is over, it also collects counts for a new map. It does so during a
+// switch, too: a change of demand is then known when the switch ends, and a map that is
+// only being prepared is replaced.
 func (l *leadership) poll(ctx context.Context, now time.Time) {
 	if l.polling || l.coord.Stage() == mapswitch.StageReading {
 		return
 	}
-	passed := now.Sub(l.polled)
-	due := now.Sub(l.planned) >= l.set.env.World.Intent(l.spec.Service).PeriodMS.Duration()
-	if passed < l.budget.gap(l.set.env.Timing.Election) {
+	passed := now.Sub(l.lastPoll)
+	due := now.Sub(l.lastPlan) >= l.set.env.World.Intent(l.spec.Service).PeriodMS.Duration()
+	if passed < l.budget.minInterval(l.set.env.Timing.Election) {
 		return
 	}
-	if passed < l.set.env.Timing.Poll && !(due && l.stepped(ctx)) {
+	if passed < l.set.env.Timing.Poll && !(due && l.newStepBegan(ctx)) {
 		return
 	}
-	l.polling, l.polled = true, now
-	ask := survey{placement: l.placement}
+	l.polling, l.lastPoll = true, now
+	req := pollRequest{placement: l.placement}
 	if due {
-		ask.counts = true
-		ask.told, ask.marked = l.rotation.take(l.budget.chunks(passed, len(l.chunks)), len(l.chunks))
+		req.counts = true
+		req.reporting, req.marked = l.rotation.take(l.budget.chunks(passed, len(l.chunks)), len(l.chunks))
 	}
-	l.set.calls.Go(func() { l.polls <- l.collect(ctx, ask) })
+	l.set.calls.Go(func() { l.polls <- l.collect(ctx, req) })
 }
 
-// take draws the conclusions from a poll.
-func (l *leadership) take(c collection, now time.Time) {
+// handlePoll processes the result of a poll.
+func (l *leadership) handlePoll(c pollResult, now time.Time) {
 	if !c.enough() {
 		l.set.env.Log.Info().Str("group", l.name).Int("answered", c.answered).
 			Dur("took", c.took).Msg("poll without a result")
@@ -152,29 +152,29 @@
 	l.step = c.step
 	l.coord.Observe(c.step, c.held, now)
 	changed := 0
-	if c.asked.counts && c.counted > 0 {
-		l.planned = now
+	if c.request.counts && c.counted > 0 {
+		l.lastPlan = now
 		if changed = l.demand.Add(c.counts); changed > 0 {
-			l.life.Changed(now)
+			l.lifetime.Changed(now)
 		}
 	}
 	if c.mixed {
-		return // a switch takes effect just now
+		return // a switch is taking effect
 	}
 	current, known := l.currentMap(&c)
 	if !known || c.counted == 0 && l.demand.Empty() || !l.coord.InEffect(c.active) {
 		return
 	}
-	l.describe(c, current, now)
+	l.logState(c, current, now)
 	stage := l.coord.Stage()
 	if stage == mapswitch.StageIdle || stage == mapswitch.StagePreparing && changed > 0 {
 		l.beginPlan(c, current, now)
 	}
 }
 
-// currentMap returns the map in use, and whether it is known. One that this
-// coordinator has not ordered itself is put together from what all ranks hold.
-func (l *leadership) currentMap(c *collection) (expertmap.Map, bool) {
+// currentMap returns the map in use, and whether it is known. A map that this coordinator
+// did not order itself is assembled from the experts that all ranks report.
+func (l *leadership) currentMap(c *pollResult) (expertmap.Map, bool) {
 	if m, ok := l.maps.get(c.active); ok {
 		l.placement = false
 		return m, true
@@ -183,7 +183,7 @@
 		return l.initialMap()
 	}
 	l.placement = true
-	if !c.asked.placement {
+	if !c.request.placement {
 		return expertmap.Map{}, false
 	}
 	m, ok := c.compose(shapeOf(&l.spec))
@@ -197,8 +197,8 @@
 // initialVersion is the version of the map that engines begin with.
 const initialVersion = 0
 
-// initialMap returns the map that engines begin with. It need not be asked for, which
-// takes two polls, 0.2 s in a group of 63 ranks.
+// initialMap returns the map that engines begin with. Requesting it from the ranks would
+// take two polls, 0.2 s in a group of 63 ranks.
 func (l *leadership) initialMap() (expertmap.Map, bool) {
 	shape := shapeOf(&l.spec)
 	m := l.set.env.InitialMap(shape)
@@ -210,46 +210,46 @@
 	return m, true
 }
 
-// describeInterval is how often the state of the group is logged.
-const describeInterval = time.Second
+// stateLogInterval is the minimum interval at which the group's state is logged.
+const stateLogInterval = time.Second
 
-// describe logs how the group does: the length of its steps, its batch, how even the
-// map in use spreads the present demand, and the slowest rank.
-func (l *leadership) describe(poll collection, current expertmap.Map, now time.Time) {
-	passed := now.Sub(l.described)
-	if passed < describeInterval || poll.step <= l.describedStep {
+// logState logs the state of the group: the length of its steps, its batch size, how
+// evenly the map in use spreads the present demand, and the slowest rank.
+func (l *leadership) logState(poll pollResult, current expertmap.Map, now time.Time) {
+	passed := now.Sub(l.lastLogged)
+	if passed < stateLogInterval || poll.step <= l.lastLoggedStep {
 		return
 	}
-	steps := poll.step - l.describedStep
+	steps := poll.step - l.lastLoggedStep
 	slowest := 0
 	for rank, speed := range poll.speeds {
 		if speed > 0 && (poll.speeds[slowest] <= 0 || speed < poll.speeds[slowest]) {
 			slowest = rank
 		}
 	}
-	if l.describedStep > 0 {
+	if l.lastLoggedStep > 0 {
 		l.set.env.Log.Info().Str("group", l.name).Uint64("step", poll.step).Uint64("steps", steps).
 			Dur("step_length", passed/time.Duration(steps)).Float64("batch", poll.running).
 			Float64("skew", expertmap.Skew(current, l.demand.Counts(), l.spec.SlotsPerRank, poll.speeds)).
 			Int("counted", poll.counted).Dur("poll", poll.took).Int("slowest_rank", slowest).Float64("slowest_speed", poll.speeds[slowest]).
 			Str("stage", l.coord.Stage().String()).Msg("group state")
 	}
-	l.described, l.describedStep = now, poll.step
+	l.lastLogged, l.lastLoggedStep = now, poll.step
 }
 
-// lookTimeout bounds a look at the own engine, which answers in a few milliseconds: the
-// group has no other coordinator meanwhile.
-const lookTimeout = 100 * time.Millisecond
+// observeTimeout bounds a query of the rank's own engine, which answers in a few
+// milliseconds. The coordinator processes nothing else meanwhile.
+const observeTimeout = 100 * time.Millisecond
 
-// stepped reports whether this rank has begun another step since the group was
-// polled, where that is to be noticed: what is counted in one step is seldom of two
+// newStepBegan reports whether this rank has begun another step since the latest poll, if
+// new steps trigger polls: counts that are collected within one step seldom mix two
 // demands.
-func (l *leadership) stepped(ctx context.Context) bool {
+func (l *leadership) newStepBegan(ctx context.Context) bool {
 	if !l.set.env.Timing.PollSteps {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, observeTimeout)
 	defer cancel()
 	state, err := l.set.env.Engine.Observe(ctx, false)
-	return err == nil && state.Step != l.step // without an answer it is asked with the next tick
+	return err == nil && state.Step != l.step // without an answer, the engine is queried again at the next tick
 }
--- a/agent/group/maps.go
+++ b/agent/group/maps.go
@@ -7,18 +7,17 @@
 	"baywall.example/core/wire"
 )
 
-// mapCache keeps the last map that was received of each group. It is safe for
-// concurrent use.
+// mapCache stores the latest map received for each group. It is safe for concurrent use.
 type mapCache struct {
 	mu   sync.Mutex
 	last map[string]expertmap.Map
 }
 
-// resolve returns the map of an order to prepare, and whether it could be made.
+// resolve returns the map of an order to prepare, and whether it could be decoded.
 func (c *mapCache) resolve(w *wire.SwitchOrder) (expertmap.Map, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m, ok := c.made(w)
+	m, ok := c.decodeMap(w)
 	if !ok {
 		return m, false
 	}
@@ -29,7 +28,7 @@
 	return m, true
 }
 
-func (c *mapCache) made(w *wire.SwitchOrder) (expertmap.Map, bool) {
+func (c *mapCache) decodeMap(w *wire.SwitchOrder) (expertmap.Map, bool) {
 	version := w.GetMap().GetVersion()
 	if w.GetChanges() != nil {
 		return applyChanges(c.last[w.GetGroup()], w.GetChanges(), version)
@@ -38,28 +37,28 @@
 	return m, err == nil
 }
 
-// version returns the version of a group's last map, 0 = none.
+// version returns the version of a group's latest map, 0 = none.
 func (c *mapCache) version(group string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.last[group].Version
 }
 
-// keptMaps is how many maps a coordinator keeps: those in use and in preparation, and
-// some that ranks may have been given before.
-const keptMaps = 6
+// maxKnownMaps is the number of maps that a coordinator stores: those in use and in
+// preparation, and some that ranks may have received before.
+const maxKnownMaps = 6
 
-// maps are the maps that a coordinator knows, and which of them its ranks' agents were
-// given last. It is safe for concurrent use.
+// maps holds the maps that a coordinator knows, and which of them each rank's agent
+// received last. It is safe for concurrent use.
 type maps struct {
-	mu     sync.Mutex
-	known  []expertmap.Map // the latest last
-	cached map[int]uint64  // version by rank, 0 = none
-	packed []byte
-	of     uint64 // version of packed
+	mu            sync.Mutex
+	known         []expertmap.Map // latest last
+	cached        map[int]uint64  // version by rank, 0 = none
+	packed        []byte
+	packedVersion uint64 // version of packed
 }
 
-// add keeps a map.
+// add stores a map.
 func (k *maps) add(m expertmap.Map) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -69,15 +68,15 @@
 		}
 	}
 	k.known = append(k.known, m)
-	k.known = k.known[max(0, len(k.known)-keptMaps):]
+	k.known = k.known[max(0, len(k.known)-maxKnownMaps):]
 }
 
-// pack returns the map's packed slots, which all ranks without a known map are sent.
+// pack returns the map's packed slots, which are sent to all ranks without a known map.
 func (k *maps) pack(m expertmap.Map) []byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.packed == nil || k.of != m.Version {
-		k.packed, k.of = m.Pack(), m.Version
+	if k.packed == nil || k.packedVersion != m.Version {
+		k.packed, k.packedVersion = m.Pack(), m.Version
 	}
 	return k.packed
 }
@@ -98,8 +97,7 @@
 	return expertmap.Map{}, false
 }
 
-// base returns the map that a rank's agent was given last, and whether it was any that
-// is known.
+// base returns the map that a rank's agent received last, and whether that map is known.
 func (k *maps) base(rank int) (expertmap.Map, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -109,8 +107,8 @@
 	return k.find(k.cached[rank])
 }
 
-// given notes the version that a rank's agent was given last, 0 = none.
-func (k *maps) given(rank int, version uint64) {
+// setBase records the version that a rank's agent received last, 0 = none.
+func (k *maps) setBase(rank int, version uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.cached == nil {
--- a/agent/group/message.go
+++ b/agent/group/message.go
@@ -8,7 +8,7 @@
 	"baywall.example/core/wire"
 )
 
-// decode turns a message into an order, and reports whether its map is known.
+// decode turns a message into an order, and reports whether its map could be decoded.
 func (s *Set) decode(w *wire.SwitchOrder) (mapswitch.Order, bool) {
 	o := orderFromWire(w)
 	if o.Phase != mapswitch.PhasePrepare {
@@ -30,7 +30,7 @@
 	}
 }
 
-// orderToWire returns the message of an order, without the map itself.
+// orderToWire returns the message of an order, without the map's layers.
 func orderToWire(group string, from vm.ID, o mapswitch.Order) *wire.SwitchOrder {
 	return &wire.SwitchOrder{
 		Group: group, Fence: o.Fence, Phase: wire.SwitchPhase(o.Phase), Map: &wire.ExpertMap{Version: o.Version},
@@ -38,9 +38,9 @@
 	}
 }
 
-// addressed returns the order with a receiver's incarnation. What it refers to is
-// shared.
-func addressed(w *wire.SwitchOrder, incarnation uint64) *wire.SwitchOrder {
+// withIncarnation returns a copy of the order with the receiver's incarnation. The copy
+// shares the fields that are references.
+func withIncarnation(w *wire.SwitchOrder, incarnation uint64) *wire.SwitchOrder {
 	return &wire.SwitchOrder{
 		Group: w.GetGroup(), Fence: w.GetFence(), Phase: w.GetPhase(), Map: w.GetMap(), Step: w.GetStep(),
 		Epoch: w.GetEpoch(), Coordinator: w.GetCoordinator(), Incarnation: incarnation, Counts: w.GetCounts(),
@@ -52,7 +52,7 @@
 	return &wire.EngineShape{Layers: uint32(s.Layers), Experts: uint32(s.Experts), Slots: uint32(s.Slots)}
 }
 
-// shapeFromWire returns the shape without the number of ranks, which is not told.
+// shapeFromWire returns the shape without the number of ranks, which is not transmitted.
 func shapeFromWire(w *wire.EngineShape) expertmap.Shape {
 	return expertmap.Shape{Layers: int(w.GetLayers()), Experts: int(w.GetExperts()), Slots: int(w.GetSlots())}
 }
@@ -60,7 +60,7 @@
 func replyToWire(r mapswitch.Reply) *wire.SwitchReply {
 	speed := r.State.Speed
 	if speed == 1 {
-		speed = 0 // as usual, like one that is not known
+		speed = 0 // normal speed is sent like an unknown one
 	}
 	return &wire.SwitchReply{
 		Ok: r.OK, Superseded: r.Superseded, Reason: r.Reason, Fence: r.Fence, Incarnation: uint64(r.Incarnation),
--- a/agent/group/orders.go
+++ b/agent/group/orders.go
@@ -12,49 +12,50 @@
 	"baywall.example/core/wire"
 )
 
-// distrustTime is how long a rank that failed to pass orders on is not asked to.
-const distrustTime = 2 * time.Second
+// relayBackoff is how long a rank that failed to forward orders is not used as a relay.
+const relayBackoff = 2 * time.Second
 
-// distrust remembers ranks that failed to pass orders on. It is safe for concurrent
-// use.
-type distrust struct {
+// relayFailures records the ranks that failed to forward orders. It is safe for
+// concurrent use.
+type relayFailures struct {
 	mu    sync.Mutex
 	until map[int]time.Time
 }
 
-func (d *distrust) note(rank int, now time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.until == nil {
-		d.until = make(map[int]time.Time)
+func (f *relayFailures) note(rank int, now time.Time) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.until == nil {
+		f.until = make(map[int]time.Time)
 	}
-	d.until[rank] = now.Add(distrustTime)
+	f.until[rank] = now.Add(relayBackoff)
 }
 
-func (d *distrust) trusts(rank int, now time.Time) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return !now.Before(d.until[rank])
+func (f *relayFailures) usable(rank int, now time.Time) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return !now.Before(f.until[rank])
 }
 
-// relayOf returns the rank that passes orders on to a chunk: the first one that has not
-// failed to lately.
+// relayOf returns the rank that forwards orders to a chunk: the first one that has not
+// failed to recently.
 func (l *leadership) relayOf(chunk []int, now time.Time) int {
 	for _, rank := range chunk {
-		if l.distrusted.trusts(rank, now) {
+		if l.failedRelays.usable(rank, now) {
 			return rank
 		}
 	}
 	return chunk[0]
 }
 
-// distrust notes that a rank failed to pass orders on.
-func (l *leadership) distrust(rank int, now time.Time) {
-	l.distrusted.note(rank, now)
+// recordRelayFailure records that a rank failed to forward orders.
+func (l *leadership) recordRelayFailure(rank int, now time.Time) {
+	l.failedRelays.note(rank, now)
 	l.set.env.Log.Info().Str("group", l.name).Int("rank", rank).Msg("rank does not pass orders on")
 }
 
-// target returns how a relay reaches a rank; it knows itself.
+// target returns what a relay needs to reach a rank. The relay's own entry has no
+// address.
 func (l *leadership) target(rank, relay int, incarnation uint64) *wire.RelayTarget {
 	t := &wire.RelayTarget{Rank: uint32(rank), Incarnation: incarnation}
 	if rank != relay {
@@ -64,16 +65,15 @@
 	return t
 }
 
-// batch is one order to ranks that are reached through one of them and have the same
-// map.
+// batch is one order to several ranks that are reached through the same relay and have
+// the same base map.
 type batch struct {
 	relay  int
-	base   uint64 // version of that map, 0 = not known
+	base   uint64 // version of the base map, 0 = not known
 	orders []mapswitch.Outgoing
 }
 
-// batches groups orders by the rank through which they go. One that had no answer goes
-// straight to its rank.
+// batches groups orders by relay and base map. A resent order goes directly to its rank.
 func (l *leadership) batches(orders []mapswitch.Outgoing, now time.Time) []*batch {
 	var out []*batch
 	for _, o := range orders {
@@ -101,27 +101,28 @@
 	return []int{rank}
 }
 
-// send gives orders to ranks.
+// send sends orders to ranks.
 func (l *leadership) send(ctx context.Context, orders []mapswitch.Outgoing) {
 	for _, b := range l.batches(orders, clock.Now()) {
 		l.set.calls.Go(func() {
-			if l.askHold(b.orders[0]) && !wait.Sleep(ctx, holdTime) {
+			if l.requestHold(b.orders[0]) && !wait.Sleep(ctx, externalHoldWait) {
 				return
 			}
-			l.give(ctx, b)
+			l.sendBatch(ctx, b)
 		})
 	}
 }
 
-// holdTime is for how long others are left to give a hold that they were asked for, before
-// the rank's own agent is asked whether it holds, and gives it otherwise: a datagram and
-// an order, each of a few milliseconds.
-const holdTime = 15 * time.Millisecond
+// externalHoldWait is how long other VMs get to order a hold that was requested from
+// them. After that the rank's own agent is ordered to, and does so unless the rank holds
+// the step already. The wait covers a datagram and an order, each of a few milliseconds.
+const externalHoldWait = 15 * time.Millisecond
 
-// askHold asks others to give an order to hold a step, where there are any, and reports
-// whether it did. A VM is most likely to be missed just after it gave that order, and
-// one that has a rank then keeps the group at a stand: for 4 s, as long as it was frozen.
-func (l *leadership) askHold(o mapswitch.Outgoing) bool {
+// requestHold requests other VMs, if there are any, to send an order to hold a step, and
+// reports whether it did. A freeze of a VM most likely stops the group just after the VM
+// sent that order, if the VM has a rank: in one case for 4 s, as long as the VM was
+// frozen.
+func (l *leadership) requestHold(o mapswitch.Outgoing) bool {
 	if o.Order.Phase != mapswitch.PhaseHold || o.Resent || l.set.env.AskHold == nil {
 		return false
 	}
@@ -129,8 +130,8 @@
 	return true
 }
 
-// give gives one batch and hands over the answers.
-func (l *leadership) give(ctx context.Context, b *batch) {
+// sendBatch sends one batch and passes the answers on to the coordinator.
+func (l *leadership) sendBatch(ctx context.Context, b *batch) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	message := l.encode(b.orders[0])
@@ -140,16 +141,16 @@
 	}
 	err := l.exchange(ctx, b.relay, relay, len(b.orders), func(r *wire.SwitchRelayReply) {
 		for _, one := range r.GetReplies() {
-			l.answered(ctx, b, one)
+			l.deliverAnswer(ctx, b, one)
 		}
 	})
 	if err != nil && ctx.Err() == nil && len(b.orders) > 1 {
-		l.distrust(b.relay, clock.Now()) // the orders are sent again without it
+		l.recordRelayFailure(b.relay, clock.Now()) // the orders are resent without this relay
 	}
 }
 
-// answered hands over one rank's answer.
-func (l *leadership) answered(ctx context.Context, b *batch, one *wire.RankReply) {
+// deliverAnswer passes one rank's answer on to the coordinator.
+func (l *leadership) deliverAnswer(ctx context.Context, b *batch, one *wire.RankReply) {
 	at := slices.IndexFunc(b.orders, func(o mapswitch.Outgoing) bool { return o.Rank == int(one.GetRank()) })
 	if at < 0 {
 		return
@@ -162,7 +163,7 @@
 	}
 }
 
-// encode turns an order into a message, with the map as changes where the rank is
+// encode turns an order into a message. The map is encoded as changes where the rank is
 // known to have another one.
 func (l *leadership) encode(o mapswitch.Outgoing) *wire.SwitchOrder {
 	w := orderToWire(l.name, l.set.env.VM, o.Order)
@@ -182,19 +183,19 @@
 	return w
 }
 
-// noteBase notes which map the rank has after its reply.
+// noteBase records which map the rank has after its reply.
 func (l *leadership) noteBase(o mapswitch.Outgoing, reply *wire.SwitchReply) {
 	switch {
 	case reply.GetBaseUnknown():
-		l.maps.given(o.Rank, 0)
+		l.maps.setBase(o.Rank, 0)
 	case o.Order.Phase == mapswitch.PhaseRead && reply.GetOk():
-		l.maps.given(o.Rank, reply.GetCached())
+		l.maps.setBase(o.Rank, reply.GetCached())
 	case o.Order.Phase == mapswitch.PhasePrepare && reply.GetOk():
-		l.maps.given(o.Rank, o.Order.Version)
+		l.maps.setBase(o.Rank, o.Order.Version)
 	}
 }
 
-// exchange has a rank pass an order on; without a link if the rank is this one.
+// exchange has a rank forward an order. It uses no link if the rank is this one.
 func (l *leadership) exchange(ctx context.Context, rank int, r *wire.SwitchRelay, targets int, each func(*wire.SwitchRelayReply)) error {
 	if rank == l.rank {
 		return l.set.Relay(ctx, r, func(reply *wire.SwitchRelayReply) error {
--- a/agent/group/plan.go
+++ b/agent/group/plan.go
@@ -9,8 +9,8 @@
 	"baywall.example/core/timeline"
 )
 
-// planner returns the search that fits the group: where a switch may copy only a
-// few experts, single changes in order of their gain.
+// planner returns the search that suits the group: where a switch may copy only a few
+// experts, it makes single changes in order of their gain.
 func (l *leadership) planner() func(expertmap.Input) (expertmap.Result, error) {
 	if l.spec.MaxNewTotal > 0 {
 		return expertmap.Improve
@@ -19,37 +19,38 @@
 }
 
 const (
-	// usualBatch is the batch, in requests, for which an intent's price of a move
-	// is meant.
-	usualBatch = 6
-	// cheapest and dearest bound how far the price follows the batch.
-	cheapest = 0.5
-	dearest  = 4
+	// referenceBatch is the batch size, in requests, to which an intent's price of a move
+	// applies.
+	referenceBatch = 6
+	// minPriceFactor and maxPriceFactor bound how far the price is scaled with the batch
+	// size.
+	minPriceFactor = 0.5
+	maxPriceFactor = 4
 )
 
-// price returns the skew that a move must be worth: the part of a step's time that
-// depends on the map grows with the batch, and the lead that a pass has before
-// streams are late shrinks. In a small batch skew costs little.
+// price returns the gain in skew that justifies a move. The part of a step's time that
+// depends on the map grows with the batch, while the slack that a pass has before streams
+// are late shrinks. In a small batch, skew therefore costs little.
 func price(moveCost, running float64) float64 {
 	if running <= 0 {
 		return moveCost
 	}
-	ratio := usualBatch / running
-	return moveCost * min(dearest, max(cheapest, ratio*ratio))
+	ratio := referenceBatch / running
+	return moveCost * min(maxPriceFactor, max(minPriceFactor, ratio*ratio))
 }
 
-// plan is a map that was planned, or the reason why none was.
+// plan is the result of planning: a map, or the reason why there is none.
 type plan struct {
 	result expertmap.Result
-	from   uint64 // version of the map that it changes
+	from   uint64 // version of the map that the plan changes
 	price  float64
 	err    error
 	took   time.Duration
 }
 
-// beginPlan plans a better map aside, as that takes long on a slow core: meanwhile the
-// ranks go on hearing their coordinator.
-func (l *leadership) beginPlan(c collection, current expertmap.Map, now time.Time) {
+// beginPlan plans a better map in a goroutine of its own, as planning takes long on a
+// slow core and the ranks need heartbeats meanwhile.
+func (l *leadership) beginPlan(c pollResult, current expertmap.Map, now time.Time) {
 	if l.planning {
 		return
 	}
@@ -66,7 +67,7 @@
 	})
 }
 
-// propose switches to a planned map if it pays for its moves.
+// propose starts a switch to a planned map if its gain outweighs the cost of its moves.
 func (l *leadership) propose(p plan, now time.Time) {
 	if p.err != nil {
 		l.record(timeline.KindPlan, "none", p.err.Error())
@@ -75,9 +76,9 @@
 	res := p.result
 	reason := fmt.Sprintf("predicted skew %.4f -> %.4f with %d moves at price %.3g in %s",
 		res.SkewBefore, res.SkewAfter, res.Moves, p.price, p.took.Round(time.Millisecond))
-	gain := (res.SkewBefore - res.SkewAfter) * l.life.Rest(now).Seconds()
+	gain := (res.SkewBefore - res.SkewAfter) * l.lifetime.Rest(now).Seconds()
 	if res.Moves == 0 || gain < l.set.env.Timing.LeastGain || !l.coord.InEffect(p.from) {
-		l.set.env.Log.Debug().Str("group", l.name).Str("reason", reason).Msg("map kept")
+		l.set.env.Log.Debug().Str("group", l.name).Str("reason", reason).Msg("planned map rejected")
 		return
 	}
 	l.record(timeline.KindPlan, "switch", reason)
--- a/agent/group/relay.go
+++ b/agent/group/relay.go
@@ -13,29 +13,30 @@
 	"baywall.example/core/wire"
 )
 
-// gatherTime is how long answers of other ranks are gathered, from the first one on,
-// before they are passed back together: they come within a few milliseconds, and each
-// message costs its receiver some tenths of a millisecond of a slow core.
-const gatherTime = 6 * time.Millisecond
-
-// passTimeout and countsTimeout bound an order, and a poll, that is passed on: less than
-// whoever asked waits, so that one rank that is silent is told from a relay that is.
+// batchWindow is how long answers of other ranks are collected, from the first one on,
+// before they are sent back together: they arrive within a few milliseconds of each
+// other, and each message costs its receiver some tenths of a millisecond of a slow core.
+const batchWindow = 6 * time.Millisecond
+
+// forwardTimeout and countsTimeout bound a forwarded order and a forwarded poll. They are
+// shorter than the requester's timeout, so that the requester can tell an unresponsive
+// rank from an unresponsive relay.
 const (
-	passTimeout   = callTimeout * 3 / 4
-	countsTimeout = collectTimeout * 3 / 4
+	forwardTimeout = callTimeout * 3 / 4
+	countsTimeout  = collectTimeout * 3 / 4
 )
 
-// errNotReached is the reason in place of an answer that did not come.
-const errNotReached = "not reached"
+// reasonNotReached is the reason that is reported for a rank that did not answer.
+const reasonNotReached = "not reached"
 
-// rankAnswer is one rank's answer to an order that was passed on.
+// rankAnswer is one rank's answer to a forwarded order.
 type rankAnswer struct {
 	rank  uint32
 	reply *wire.SwitchReply
 }
 
-// Relay gives an order to each of its targets, this rank among them, and sends back
-// what they answer as it comes, or that they do not.
+// Relay sends an order to each of its targets, which include this rank, and returns their
+// answers as they arrive. A target that does not answer is reported as not reached.
 func (s *Set) Relay(ctx context.Context, r *wire.SwitchRelay, send func(*wire.SwitchRelayReply) error) error {
 	targets := s.targets.resolve(r)
 	if len(targets) == 0 {
@@ -43,25 +44,25 @@
 	}
 	answers := make(chan rankAnswer, len(targets))
 	for _, target := range targets {
-		go func() { answers <- rankAnswer{target.GetRank(), s.pass(ctx, r.GetOrder(), target)} }()
+		go func() { answers <- rankAnswer{target.GetRank(), s.forward(ctx, r.GetOrder(), target)} }()
 	}
 	for left := len(targets); left > 0; {
-		batch := gather(answers, left)
+		batch := receiveBatch(answers, left)
 		left -= len(batch)
-		if err := send(summed(batch, r.GetOrder())); err != nil {
+		if err := send(mergeAnswers(batch, r.GetOrder())); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// pass gives the order to one target and returns its answer.
-func (s *Set) pass(ctx context.Context, order *wire.SwitchOrder, target *wire.RelayTarget) *wire.SwitchReply {
-	mine := addressed(order, target.GetIncarnation())
+// forward sends the order to one target and returns its answer.
+func (s *Set) forward(ctx context.Context, order *wire.SwitchOrder, target *wire.RelayTarget) *wire.SwitchReply {
+	forwarded := withIncarnation(order, target.GetIncarnation())
 	if target.GetVm() == "" {
-		return s.Handle(ctx, mine)
+		return s.Handle(ctx, forwarded)
 	}
-	limit := passTimeout
+	limit := forwardTimeout
 	if order.GetPhase() == wire.SwitchPhase_SWITCH_COUNTS {
 		limit = countsTimeout
 	}
@@ -70,25 +71,25 @@
 	conn, err := s.env.Pool.Get(ctx, vm.VM{ID: vm.ID(target.GetVm()), Link: target.GetAddress(), Role: vm.RoleBackend})
 	if err != nil {
 		s.env.Log.Info().Err(err).Str("group", order.GetGroup()).Uint32("rank", target.GetRank()).Msg("order not passed on")
-		return &wire.SwitchReply{Reason: errNotReached}
+		return &wire.SwitchReply{Reason: reasonNotReached}
 	}
-	single := &wire.SwitchRelay{Order: mine, Targets: []*wire.RelayTarget{{Rank: target.GetRank(), Incarnation: target.GetIncarnation()}}}
+	single := &wire.SwitchRelay{Order: forwarded, Targets: []*wire.RelayTarget{{Rank: target.GetRank(), Incarnation: target.GetIncarnation()}}}
 	reply, err := conn.Call(ctx, &wire.Call{Body: &wire.Call_SwitchRelay{SwitchRelay: single}})
 	if err != nil || len(reply.GetSwitchRelay().GetReplies()) != 1 {
-		return &wire.SwitchReply{Reason: errNotReached} // the coordinator sends the order again
+		return &wire.SwitchReply{Reason: reasonNotReached} // the coordinator resends the order
 	}
 	out := reply.GetSwitchRelay().GetReplies()[0].GetReply()
 	out.Counts = reply.GetSwitchRelay().GetCounts()
 	return out
 }
 
-// gather returns the answers that come within the gather time of the first one, which
-// it waits for, at most a number of them.
-func gather(answers <-chan rankAnswer, most int) []rankAnswer {
+// receiveBatch waits for the first answer and returns it with those that arrive within
+// the batch window after it, up to a maximum number.
+func receiveBatch(answers <-chan rankAnswer, maxCount int) []rankAnswer {
 	out := []rankAnswer{<-answers}
-	timer := time.NewTimer(gatherTime)
+	timer := time.NewTimer(batchWindow)
 	defer timer.Stop()
-	for len(out) < most {
+	for len(out) < maxCount {
 		select {
 		case a := <-answers:
 			out = append(out, a)
@@ -99,31 +100,31 @@
 	return out
 }
 
-// summed puts answers together, with their counts as one sum.
-func summed(batch []rankAnswer, order *wire.SwitchOrder) *wire.SwitchRelayReply {
+// mergeAnswers combines answers into one reply, with the sum of their counts.
+func mergeAnswers(batch []rankAnswer, order *wire.SwitchOrder) *wire.SwitchRelayReply {
 	out := &wire.SwitchRelayReply{}
-	var told [][]*wire.LayerCounts
+	var reported [][]*wire.LayerCounts
 	for _, a := range batch {
 		if a.reply.GetOk() && order.GetCounts() {
-			told = append(told, a.reply.GetCounts())
+			reported = append(reported, a.reply.GetCounts())
 			a.reply.Counts = nil
 		}
 		out.Replies = append(out.Replies, &wire.RankReply{Rank: a.rank, Reply: a.reply})
 	}
-	out.Counts = sumCounts(told, order.GetShape())
+	out.Counts = sumCounts(reported, order.GetShape())
 	return out
 }
 
 // sumCounts adds up the counts of several ranks.
-func sumCounts(told [][]*wire.LayerCounts, w *wire.EngineShape) []*wire.LayerCounts {
-	if len(told) <= 1 {
-		if len(told) == 0 {
+func sumCounts(reported [][]*wire.LayerCounts, w *wire.EngineShape) []*wire.LayerCounts {
+	if len(reported) <= 1 {
+		if len(reported) == 0 {
 			return nil
 		}
-		return told[0]
+		return reported[0]
 	}
 	sum := expertmap.NewCounts(shapeFromWire(w))
-	for _, counts := range told {
+	for _, counts := range reported {
 		addCounts(sum, counts)
 	}
 	rounded := make([][]int64, len(sum))
@@ -136,44 +137,44 @@
 	return encodeCounts(rounded)
 }
 
-// targetCache keeps, by group, the targets that this rank passed on to last, as naming
-// them takes half of a poll. It is safe for concurrent use.
+// targetCache stores, by group, the targets to which this rank forwarded last, because
+// listing them takes half of a poll's bytes. It is safe for concurrent use.
 type targetCache struct {
-	mu   sync.Mutex
-	kept map[string]keptTargets
+	mu      sync.Mutex
+	byGroup map[string]cachedTargets
 }
 
-type keptTargets struct {
+type cachedTargets struct {
 	fence   uint64
 	chunk   uint32
 	targets []*wire.RelayTarget
 }
 
-// resolve returns the targets of a relay, none if they are not known.
+// resolve returns the targets of a relay request, or none if they are not known.
 func (c *targetCache) resolve(r *wire.SwitchRelay) []*wire.RelayTarget {
 	group, fence := r.GetOrder().GetGroup(), r.GetOrder().GetFence()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(r.GetTargets()) == 0 {
-		if k := c.kept[group]; k.fence == fence && k.chunk == r.GetChunk() {
+		if k := c.byGroup[group]; k.fence == fence && k.chunk == r.GetChunk() {
 			return k.targets
 		}
 		return nil
 	}
 	if r.GetChunk() != 0 {
-		if c.kept == nil {
-			c.kept = make(map[string]keptTargets)
+		if c.byGroup == nil {
+			c.byGroup = make(map[string]cachedTargets)
 		}
-		c.kept[group] = keptTargets{fence, r.GetChunk(), r.GetTargets()}
+		c.byGroup[group] = cachedTargets{fence, r.GetChunk(), r.GetTargets()}
 	}
 	return r.GetTargets()
 }
 
-// errTargets means that a relay does not know whom to pass on to.
+// errTargets means that a relay has no cached targets for the request.
 var errTargets = eris.New("group: relay does not know its targets")
 
-// exchange has a rank pass an order on to a number of targets and hands over what they
-// answer, until all have or the context ends.
+// exchange has a rank forward an order to a number of targets and passes their answers to
+// each until all have answered or the context ends.
 func exchange(ctx context.Context, conn *link.Link, r *wire.SwitchRelay, targets int, each func(*wire.SwitchRelayReply)) error {
 	stream, err := conn.Open(ctx)
 	if err != nil {
--- a/agent/group/relay_test.go
+++ b/agent/group/relay_test.go
@@ -11,9 +11,9 @@
 	"baywall.example/core/wire"
 )
 
-// One rank whose agent is gone must not make the rank before it look as if it passed
-// nothing on.
-func TestARelayTellsOfARankThatItDoesNotReach(t *testing.T) {
+// A rank whose agent is gone must not make its relay look as if the relay forwarded
+// nothing.
+func TestRelayReportsRankThatItCannotReach(t *testing.T) {
 	is := is.New(t)
 	world := newAgents(t, expertmap.Shape{Ranks: 3, Slots: 1, Layers: 1, Experts: 3}, Timing{First: time.Hour})
 	world.all[0].set.member.Recovered()
@@ -33,7 +33,7 @@
 	is.True(got[0].GetOk())
 	is.True(got[1] != nil)
 	is.True(!got[1].GetOk())
-	is.Equal(got[1].GetReason(), errNotReached)
+	is.Equal(got[1].GetReason(), reasonNotReached)
 }
 
 func TestCountsOfSeveralRanksAreSummed(t *testing.T) {
@@ -42,7 +42,7 @@
 	answer := func(rank uint32, counts ...int64) rankAnswer {
 		return rankAnswer{rank, &wire.SwitchReply{Ok: true, Counts: encodeCounts([][]int64{counts})}}
 	}
-	out := summed([]rankAnswer{answer(1, 100, 0, 50), answer(2, 100, 200, 0), {3, &wire.SwitchReply{Reason: errNotReached}}}, order)
+	out := mergeAnswers([]rankAnswer{answer(1, 100, 0, 50), answer(2, 100, 200, 0), {3, &wire.SwitchReply{Reason: reasonNotReached}}}, order)
 	is.Equal(len(out.GetReplies()), 3)
 	sum := expertmap.Counts{make([]float64, 3)}
 	addCounts(sum, out.GetCounts())
@@ -51,8 +51,8 @@
 	}
 }
 
-// Naming whom to pass on to takes more of a poll than all answers.
-func TestARelayKeepsItsTargets(t *testing.T) {
+// Listing the targets takes more bytes of a poll than all answers.
+func TestRelayCachesItsTargets(t *testing.T) {
 	is := is.New(t)
 	relay := func(fence uint64, chunk uint32, targets ...*wire.RelayTarget) *wire.SwitchRelay {
 		return &wire.SwitchRelay{Order: &wire.SwitchOrder{Group: "g", Fence: fence}, Chunk: chunk, Targets: targets}
@@ -60,16 +60,16 @@
 	var c targetCache
 	is.Equal(len(c.resolve(relay(7, 3))), 0) // a process that has just started
 	is.Equal(len(c.resolve(relay(7, 0, &wire.RelayTarget{Rank: 1}))), 1)
-	is.Equal(len(c.resolve(relay(7, 0))), 0) // these were not to be kept
+	is.Equal(len(c.resolve(relay(7, 0))), 0) // targets without a chunk number are not cached
 	is.Equal(len(c.resolve(relay(7, 3, &wire.RelayTarget{Rank: 1}, &wire.RelayTarget{Rank: 2}))), 2)
 	is.Equal(len(c.resolve(relay(7, 3))), 2)
-	is.Equal(len(c.resolve(relay(7, 4))), 0) // of another chunk
-	is.Equal(len(c.resolve(relay(8, 3))), 0) // of another coordinator
+	is.Equal(len(c.resolve(relay(7, 4))), 0) // another chunk
+	is.Equal(len(c.resolve(relay(8, 3))), 0) // another coordinator
 }
 
-func TestARelayIsToldItsTargetsAgainOnceItHasForgottenThem(t *testing.T) {
+func TestRelayIsSentItsTargetsAgainAfterLosingThem(t *testing.T) {
 	is := is.New(t)
-	world := newAgents(t, largeGroup, quick)
+	world := newAgents(t, largeGroup, testTiming)
 	await(t, "first map in use", 20*time.Second, func() bool { least, _ := world.engines.versions(); return least > 0 })
 	for _, a := range world.all[1:] {
 		a.set.targets.resolve(&wire.SwitchRelay{
--- a/agent/group/remembered.go
+++ b/agent/group/remembered.go
@@ -6,14 +6,14 @@
 	"baywall.example/core/expertmap"
 )
 
-// demand is what a coordinator knows of the requests of its group. It outlives the
-// group's formation: a group that was formed anew begins with the initial map and has
-// counted nothing, but its callers ask for the same. Its first map is then planned
+// demand is what a coordinator knows of the requests to its group. It is retained when
+// the group is re-formed: the new group begins with the initial map and without counts,
+// but its callers send the same requests. The group's first map can then be planned
 // before its first pass has been counted.
 type demand struct {
 	shape    expertmap.Shape
 	estimate *expertmap.Demand
-	life     *expertmap.Lifetime
+	lifetime *expertmap.Lifetime
 }
 
 // demandOf returns what this rank knows of a group's demand from an earlier time as its
@@ -21,7 +21,7 @@
 func (s *Set) demandOf(group string, shape expertmap.Shape, now time.Time) demand {
 	d, ok := s.demands[group]
 	if !ok || d.shape != shape {
-		d = demand{shape: shape, estimate: expertmap.NewDemand(shape, s.env.Timing.CountsWeight), life: expertmap.NewLifetime(now)}
+		d = demand{shape: shape, estimate: expertmap.NewDemand(shape, s.env.Timing.CountsWeight), lifetime: expertmap.NewLifetime(now)}
 		s.demands[group] = d
 	}
 	return d
--- a/agent/group/sample.go
+++ b/agent/group/sample.go
@@ -6,58 +6,57 @@
 	"time"
 )
 
-// What a coordinator asks of its group is bounded by its VM's link, which also carries
-// the requests of the backend server beside it. It may ask as often as the answers of
-// all ranks fit half of its part, and asks as many of them for their counts as the
-// rest allows, in turn. Which experts are popular is a property of the group's whole
-// work, so some ranks tell it nearly as well as all: one step of 30 streams chooses
-// each of 192 experts a hundred times.
+// A coordinator's polls are limited by its VM's link, which also carries the requests to
+// the backend server on the same VM. It polls as often as the answers of all ranks fit
+// into half of its share of the link, and requests counts from as many chunks as fit into
+// the remainder, in rotation. Which experts are popular is a property of the group's
+// whole work, so a few ranks report it nearly as well as all: in one step, 30 streams
+// choose each of 192 experts a hundred times.
 
 const (
-	// controlShare is the part of its VM's link that a coordinator may use.
+	// controlShare is the share of its VM's link that a coordinator may use.
 	controlShare = 0.1
-	// stateShare is the part of that for what ranks say besides their counts.
+	// stateShare is the share of that for the ranks' answers without their counts.
 	stateShare = 0.5
-	// callBytes is about what the order to one chunk takes in a poll, the frames of its
-	// stream both ways included, stateBytes the answer of one rank without its counts: 63
-	// bytes and nine frames of 12, and 27 bytes, measured.
+	// callBytes is the approximate size of the order to one chunk in a poll, including
+	// the frames of its stream in both directions: 63 bytes and nine frames of 12.
+	// stateBytes is the size of one rank's answer without its counts.
 	callBytes, stateBytes = 170, 27
-	// rootBytes is what the counts of one expert take, layerBytes what each layer takes
-	// besides.
+	// rootBytes is the size of the counts of one expert, layerBytes the overhead of each
+	// layer.
 	rootBytes  = 1
 	layerBytes = 8
 )
 
 // budget bounds a coordinator's polls.
 type budget struct {
-	perSec float64 // bytes, 0 = unbounded
+	perSec float64 // bytes per second, 0 = unlimited
 	state  float64 // bytes of one poll without counts
 	counts float64 // bytes of one chunk's counts
 }
 
-// newBudget returns the budget on a link of some bytes a second, 0 = not known.
+// newBudget returns the budget on a link with a speed in bytes per second, 0 = not known.
 func newBudget(link float64, ranks, layers, experts int) budget {
 	return budget{
-		perSec: controlShare * link, state: float64(ranks*stateBytes + min(mostDirect, ranks)*callBytes),
+		perSec: controlShare * link, state: float64(ranks*stateBytes + min(maxDirectCalls, ranks)*callBytes),
 		counts: float64(layers * (experts*rootBytes + layerBytes)),
 	}
 }
 
-// heardTimes is how often ranks have to hear their coordinator in the time after which
-// they elect another one.
-const heardTimes = 3
+// pollsPerElection is the minimum number of polls per election timeout.
+const pollsPerElection = 3
 
-// gap returns the least time between two polls, where ranks elect another coordinator
-// after some silence.
-func (b budget) gap(election time.Duration) time.Duration {
+// minInterval returns the minimum time between two polls, given the time without contact
+// after which ranks elect another coordinator.
+func (b budget) minInterval(election time.Duration) time.Duration {
 	if b.perSec <= 0 {
 		return 0
 	}
-	return min(election/heardTimes, time.Duration(b.state/(stateShare*b.perSec)*float64(time.Second)))
+	return min(election/pollsPerElection, time.Duration(b.state/(stateShare*b.perSec)*float64(time.Second)))
 }
 
-// chunks returns how many chunks may tell their counts in a poll that comes so long
-// after the one before, at least one.
+// chunks returns how many of the chunks may report their counts in a poll, given the time
+// since the previous poll; at least one.
 func (b budget) chunks(passed time.Duration, of int) int {
 	if b.perSec <= 0 {
 		return of
@@ -66,25 +65,25 @@
 	return min(of, max(1, n))
 }
 
-// rotation picks chunks in turn, each round in a new random order.
+// rotation selects each chunk once per round, in a new random order each round.
 type rotation struct {
-	rest []int
-	next []int // what the next poll asks
+	remaining []int
+	next      []int // chunks that the next poll requests
 }
 
-// take returns the chunks to ask now, which were announced with the poll before, and
-// announces n for the next one. Without an announcement there is nothing to ask yet.
+// take returns the chunks to request now, which were announced with the previous poll,
+// and announces n chunks for the next one. The first call has none to request.
 func (r *rotation) take(n, of int) (now, next []int) {
 	now = r.next
 	r.next = nil
 	for len(r.next) < min(n, of) {
-		if len(r.rest) == 0 {
-			r.rest = rand.Perm(of)
+		if len(r.remaining) == 0 {
+			r.remaining = rand.Perm(of)
 		}
-		if !slices.Contains(r.next, r.rest[0]) {
-			r.next = append(r.next, r.rest[0])
+		if !slices.Contains(r.next, r.remaining[0]) {
+			r.next = append(r.next, r.remaining[0])
 		}
-		r.rest = r.rest[1:]
+		r.remaining = r.remaining[1:]
 	}
 	return now, r.next
 }
--- a/agent/group/sample_test.go
+++ b/agent/group/sample_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestChunksHoldEveryOtherRankOnce(t *testing.T) {
+func TestChunksContainEveryOtherRankOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		ranks := rapid.IntRange(1, 300).Draw(t, "ranks")
@@ -21,7 +21,7 @@
 			is.True(len(c) <= len(out[len(out)-1])) // the last is the largest
 			all = append(all, c...)
 		}
-		is.True(len(out) <= mostDirect)
+		is.True(len(out) <= maxDirectCalls)
 		is.Equal(len(all), ranks-1)
 		is.True(!slices.Contains(all, self))
 		is.True(slices.IsSorted(all))
@@ -33,8 +33,8 @@
 		name                   string
 		mbps                   float64
 		ranks, layers, experts int
-		gap                    time.Duration
-		told                   int // chunks, when a poll comes after 200 ms
+		minInterval            time.Duration
+		reporting              int // chunks that report counts when a poll comes after 200 ms
 	}{
 		{"96 ranks on 6 Mbit/s", 6, 96, 16, 192, 141653333, 3},
 		{"24 ranks on 8 Mbit/s", 8, 24, 16, 96, 67360 * time.Microsecond, 9},
@@ -47,23 +47,23 @@
 			is := is.New(t)
 			b := newBudget(c.mbps*1e6/8, c.ranks, c.layers, c.experts)
 			of := len(chunks(c.ranks, 0))
-			is.Equal(b.gap(time.Second), c.gap)
-			is.Equal(b.chunks(200*time.Millisecond, of), c.told)
-			if c.mbps > 0 && c.told > 1 {
-				bytes := b.state + float64(c.told)*b.counts
+			is.Equal(b.minInterval(time.Second), c.minInterval)
+			is.Equal(b.chunks(200*time.Millisecond, of), c.reporting)
+			if c.mbps > 0 && c.reporting > 1 {
+				bytes := b.state + float64(c.reporting)*b.counts
 				is.True(bytes <= controlShare*c.mbps*1e6/8*0.2)
 			}
 		})
 	}
 }
 
-// However slow the link, the ranks go on hearing their coordinator.
-func TestTheCoordinatorOfASlowLinkIsHeard(t *testing.T) {
+// However slow the link is, the coordinator polls often enough to prevent an election.
+func TestCoordinatorOnSlowLinkPollsOftenEnough(t *testing.T) {
 	is := is.New(t)
-	is.Equal(newBudget(1000, 96, 16, 192).gap(600*time.Millisecond), 200*time.Millisecond)
+	is.Equal(newBudget(1000, 96, 16, 192).minInterval(600*time.Millisecond), 200*time.Millisecond)
 }
 
-func TestChunksAreAskedInTurn(t *testing.T) {
+func TestChunksAreRequestedInRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		of := rapid.IntRange(1, 16).Draw(t, "of")
@@ -71,18 +71,18 @@
 		var r rotation
 		now, next := r.take(n, of)
 		is.Equal(len(now), 0)
-		asked := make(map[int]int)
+		requested := make(map[int]int)
 		for range 4 * of {
 			announced := slices.Clone(next)
 			now, next = r.take(n, of)
 			is.Equal(now, announced)
 			is.Equal(len(now), n)
 			for _, c := range now {
-				asked[c]++
+				requested[c]++
 			}
 			slices.Sort(now)
 			is.Equal(len(slices.Compact(now)), n)
 		}
-		is.Equal(len(asked), of) // none is left out
+		is.Equal(len(requested), of) // no chunk is left out
 	})
 }
--- a/agent/group/sizes_test.go
+++ b/agent/group/sizes_test.go
@@ -11,9 +11,9 @@
 	"baywall.example/core/wire"
 )
 
-// What a poll and a switch take on a coordinator's link, order and answers together,
-// for docs/design/large.md and docs/CAPACITY.md. All would be calls to every rank, with
-// the counts of each; now is what relays and the budget leave.
+// The bytes of a poll and of a switch on a coordinator's link, orders and answers
+// together, for docs/design/large.md and docs/CAPACITY.md. "all" is for calls to every
+// rank, with the counts of each; "now" is with relays and the budget.
 func TestBytesOfAPollAndASwitch(t *testing.T) {
 	cases := []struct {
 		shape expertmap.Shape
@@ -32,14 +32,14 @@
 			counts := proto.Size(&wire.SwitchRelayReply{Counts: encodeCounts(drawnCounts(s))})
 			others := s.Ranks - 1
 			budget := newBudget(c.mbps*1e6/8, s.Ranks, s.Layers, s.Experts)
-			told := budget.chunks(max(budget.gap(0), 60e6), len(chunks(s.Ranks, 0)))
+			reporting := budget.chunks(max(budget.minInterval(0), 60e6), len(chunks(s.Ranks, 0)))
 			calls := len(chunks(s.Ranks, 0))
-			all, now := others*(state+call+counts), others*state+calls*call+told*counts
+			all, now := others*(state+call+counts), others*state+calls*call+reporting*counts
 			initial, err := expertmap.Initial(s)
 			is.NoErr(err)
 			whole := proto.Size(&wire.SwitchOrder{Map: initial.Wire()})
-			t.Logf("call %d B, state of a rank %d B, counts %d B; poll: all %d B, now %d B (%d chunks tell counts); first map: all %d B, now %d B",
-				call, state, counts, all, now, told, others*whole, calls*len(initial.Pack()))
+			t.Logf("call %d B, state of a rank %d B, counts %d B; poll: all %d B, now %d B (%d chunks report counts); first map: all %d B, now %d B",
+				call, state, counts, all, now, reporting, others*whole, calls*len(initial.Pack()))
 			is.True(state <= stateBytes)
 			is.True(call <= callBytes)
 			is.True(now <= all)
@@ -47,8 +47,8 @@
 	}
 }
 
-// stateSizes returns what one rank answers in a poll without counts, and what the order
-// to a chunk takes once its relay knows whom to pass on to.
+// stateSizes returns the size of one rank's answer in a poll without counts, and the size
+// of the order to a chunk once its relay knows the targets.
 func stateSizes(s expertmap.Shape) (state, call int) {
 	reply := &wire.RankReply{Rank: uint32(s.Ranks), Reply: &wire.SwitchReply{
 		Ok: true, Step: 100_000, Active: 1 << 50, Epoch: 5, Running: 6,
--- a/agent/mapswitch/coordinator.go
+++ b/agent/mapswitch/coordinator.go
@@ -63,7 +63,7 @@
 	// the switch. It grows to the number of steps that the latest switch would have
 	// needed to keep the group from waiting. Default 40.
 	Lead uint64
-	// MostLead is the upper bound of that number. Default twice Lead.
+	// MostLead is the upper bound of that number. Default twice the minimum.
 	MostLead uint64
 }
 
