--- a/agent/group/collect.go
+++ b/agent/group/collect.go
@@ -25,7 +25,7 @@
 type pollRequest struct {
 	counts    bool  // from the own rank and the reporting chunks
 	reporting []int // chunks that report their counts
-	marked    []int // chunks that will report their counts in the next poll
+	marked    []int // chunks that report in the next poll; their counters restart now
 	placement bool  // every rank reports which experts it holds
 }
 
--- a/agent/group/group_test.go
+++ b/agent/group/group_test.go
@@ -185,12 +185,12 @@
 	// The other ranks are reached through relays. Exceptions are the ranks that replaced
 	// a relay, and those that were sent a whole map because they did not have the
 	// previous one.
-	most := maxDirectCalls + int(world.all[0].relayFailureCount.Load())
+	maxLinks := maxDirectCalls + int(world.all[0].relayFailureCount.Load())
 	world.unknown.Range(func(any, any) bool {
-		most++
+		maxLinks++
 		return true
 	})
-	is.True(len(world.all[0].pool.Links()) <= most)
+	is.True(len(world.all[0].pool.Links()) <= maxLinks)
 }
 
 // Orders that a relay fails to forward are resent without it.
--- a/agent/group/orders.go
+++ b/agent/group/orders.go
@@ -101,7 +101,7 @@
 	return []int{rank}
 }
 
-// send sends orders to ranks.
+// send sends orders to ranks in batches, each in a goroutine of its own.
 func (l *leadership) send(ctx context.Context, orders []mapswitch.Outgoing) {
 	for _, b := range l.batches(orders, clock.Now()) {
 		l.set.calls.Go(func() {
--- a/agent/mapswitch/coordinator.go
+++ b/agent/mapswitch/coordinator.go
@@ -414,9 +414,9 @@
 
 // recoverHold continues where ranks hold a step and none is armed. Ranks are armed only
 // after a rank holds the step, and all have loaded the version before that. So if all
-// have loaded the same version, the earlier coordinator may have begun to arm it, and
-// this one continues to: the step cannot begin meanwhile. Otherwise no rank has been or
-// will be armed.
+// have loaded the same version, the earlier coordinator may have begun to arm ranks for
+// it, and this one arms them all: the step cannot begin meanwhile. Otherwise no rank has
+// been or will be armed.
 func (c *Coordinator) recoverHold(now time.Time) {
 	held := uint64(0)
 	loaded := c.ranks[0].state.Loaded
--- a/agent/mapswitch/member.go
+++ b/agent/mapswitch/member.go
@@ -112,9 +112,9 @@
 	case err != nil:
 		return m.refuse(err.Error())
 	case o.Fence < m.promised:
-		return m.supersede("a larger fencing number is promised")
+		return m.refuseSuperseded("a larger fencing number is promised")
 	case state.Epoch != o.Epoch:
-		return m.supersede("the group was re-formed since it was read")
+		return m.refuseSuperseded("the group was re-formed since it was read")
 	default:
 		return m.accept(state)
 	}
@@ -137,7 +137,7 @@
 		return reply
 	}
 	if o.Phase != PhaseRead && o.Epoch != state.Epoch {
-		return m.supersede("the group was re-formed since it was read")
+		return m.refuseSuperseded("the group was re-formed since it was read")
 	}
 	m.promised = max(m.promised, o.Fence)
 	return m.execute(ctx, o, state)
@@ -145,7 +145,7 @@
 
 func (m *Member) checkFence(o Order) (Reply, bool) {
 	if o.Phase != PhaseRead && o.Incarnation != m.incarnation {
-		return m.supersede("another incarnation of this member was read"), false
+		return m.refuseSuperseded("another incarnation of this member was read"), false
 	}
 	if o.Phase == PhaseRead && o.Fence >= m.promised {
 		return Reply{}, true
@@ -153,7 +153,7 @@
 	if o.Phase != PhaseRead && o.Fence == m.promised {
 		return Reply{}, true
 	}
-	return m.supersede("a larger fencing number is promised"), false
+	return m.refuseSuperseded("a larger fencing number is promised"), false
 }
 
 func (m *Member) execute(ctx context.Context, o Order, s engine.ExpertState) Reply {
@@ -234,7 +234,7 @@
 	return r
 }
 
-func (m *Member) supersede(reason string) Reply {
+func (m *Member) refuseSuperseded(reason string) Reply {
 	r := m.refuse(reason)
 	r.Superseded = true
 	return r
