--- a/entry/gateway/adapter_test.go
+++ b/entry/gateway/adapter_test.go
@@ -17,7 +17,7 @@
 	"baywall.example/entry/catalog"
 )
 
-// testAdapter is a platform whose documents are the product's own types as JSON.
+// testAdapter is a platform that encodes documents as JSON of the product's own types.
 type testAdapter struct {
 	store source.Store
 }
@@ -52,8 +52,8 @@
 	return status == http.StatusOK
 }
 
-// ReadNotice reads a limit in whole requests a second, for how long the server is cold in whole
-// seconds, a rest in decimal seconds, and whether it leaves.
+// ReadNotice reads a limit in whole requests per second, the time for which the server is
+// cold in whole seconds, a backoff in decimal seconds, and whether the server leaves.
 func (testAdapter) ReadNotice(_ int, h http.Header, now time.Time) (n notice.Notice, err error) {
 	n.Limit.Kind = ratelimit.SaidNone
 	if text := h.Get("T-Limit"); text != "" {
@@ -63,14 +63,14 @@
 		}
 		n.Limit = ratelimit.Said{Kind: ratelimit.SaidLimit, Limit: float64(limit)}
 	}
-	seconds, _ := strconv.Atoi(h.Get("T-Cold")) // 0 where there is none
+	seconds, _ := strconv.Atoi(h.Get("T-Cold")) // 0 if the field is absent
 	n.Cold = time.Duration(seconds) * time.Second
 	n.Leaving = h.Get("T-Leaving") != ""
 	n.Rest, err = notice.ParseRest(h["T-Rest"], "", now)
 	return n, err
 }
 
-// HoldOrder orders with epoch and step in the path.
+// HoldOrder returns an order with the epoch and the step in its path.
 func (testAdapter) HoldOrder(epoch, step uint64) Order {
 	return Order{Target: fmt.Sprintf("/hold/%d/%d", epoch, step), Header: http.Header{}}
 }
--- a/entry/gateway/answer.go
+++ b/entry/gateway/answer.go
@@ -22,11 +22,12 @@
 	headerReason  = "Baywall-Reason"
 )
 
-// maxBuffered is the largest part of an answer, in bytes, that is read before
-// the caller sees anything of it. Up to there a broken answer can be replaced.
+// maxBuffered is the size, in bytes, up to which an answer is buffered before any of it is
+// sent to the caller. An answer that breaks off before that can be replaced by another
+// attempt.
 const maxBuffered = 256 << 10
 
-// forwardAnswer passes on an answer that is no stream.
+// forwardAnswer forwards an answer that is not a stream.
 func (q *request) forwardAnswer(answer *upstream.Answer, stream *streamState) attempt {
 	var body bytes.Buffer
 	n, err := io.Copy(&body, io.LimitReader(answer.Body, maxBuffered))
@@ -37,31 +38,31 @@
 	if answer.Status >= http.StatusInternalServerError && whole {
 		return attempt{verdict: verdictFailed, status: answer.Status, header: answer.Header, body: body.Bytes()}
 	}
-	if stream.begun {
-		// A stream cannot go on with an answer that is none.
+	if stream.headerSent {
+		// A stream cannot be continued by an answer that is not a stream.
 		return attempt{verdict: verdictCut, status: answer.Status}
 	}
 	q.firstAnswer = clock.Since(q.began)
-	q.copyHead(answer.Header)
+	q.copyHeader(answer.Header)
 	if whole {
 		q.w.Header().Set("Content-Length", strconv.Itoa(body.Len()))
 	}
 	q.w.WriteHeader(answer.Status)
 	if _, err := q.w.Write(body.Bytes()); err != nil {
-		return attempt{verdict: verdictLeft, err: err}
+		return attempt{verdict: verdictCallerLeft, err: err}
 	}
 	if whole {
 		return attempt{verdict: verdictAnswered, status: answer.Status}
 	}
-	stream.begun = true
+	stream.headerSent = true
 	if _, err := io.Copy(q.w, answer.Body); err != nil {
 		return attempt{verdict: verdictCut, err: err}
 	}
 	return attempt{verdict: verdictAnswered, status: answer.Status}
 }
 
-// copyHead copies the backend server's header fields.
-func (q *request) copyHead(from http.Header) {
+// copyHeader copies the backend server's header fields to the answer.
+func (q *request) copyHeader(from http.Header) {
 	h := q.w.Header()
 	named := connectionFields(from)
 	for name, values := range from {
@@ -75,44 +76,45 @@
 	}
 }
 
-// finish ends a request that got no answer.
+// finish ends a request for which no attempt produced an answer.
 func (q *request) finish(d retry.Decision, a attempt, stream *streamState) {
-	if stream.begun {
+	if stream.headerSent {
 		q.abort(a)
 		return
 	}
 	if a.verdict == verdictFailed {
-		q.passFailure(a)
+		q.forwardFailure(a)
 		return
 	}
 	q.refuse(statusOf(d.Refusal), d.Refusal)
 }
 
-// passFailure gives the caller the backend server's own error.
-func (q *request) passFailure(a attempt) {
-	q.copyHead(a.header)
+// forwardFailure sends the backend server's own error answer to the caller.
+func (q *request) forwardFailure(a attempt) {
+	q.copyHeader(a.header)
 	q.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	q.w.WriteHeader(a.status)
 	_, err := q.w.Write(a.body)
-	q.describe(q.log.Info()).AnErr("write", err).Int("status", a.status).Msg("backend server's failure passed on")
+	q.addLogFields(q.log.Info()).AnErr("write", err).Int("status", a.status).Msg("backend server's error answer forwarded")
 }
 
-// abort breaks the answer off, so that the caller cannot take it for whole.
+// abort closes the connection in the middle of the answer, so that the caller cannot take
+// the answer for complete.
 func (q *request) abort(a attempt) {
 	q.g.inst.aborted.Inc()
-	q.describe(q.log.Warn()).Str("verdict", a.verdict.String()).AnErr("cause", a.err).Msg("answer aborted")
+	q.addLogFields(q.log.Warn()).Str("verdict", a.verdict.String()).AnErr("cause", a.err).Msg("answer aborted")
 	panic(http.ErrAbortHandler)
 }
 
-// left ends a request whose caller is gone.
-func (q *request) left(stream *streamState) {
-	q.g.inst.left.Inc()
-	q.describe(q.log.Info()).Bool("begun", stream.begun).Msg("caller left")
+// callerLeft ends a request whose caller has disconnected.
+func (q *request) callerLeft(stream *streamState) {
+	q.g.inst.callerLeft.Inc()
+	q.addLogFields(q.log.Info()).Bool("begun", stream.headerSent).Msg("caller left")
 	panic(http.ErrAbortHandler)
 }
 
-// statusOf returns the status of a refusal: 502 and 504 promise nothing, 503
-// promises that the request did not run.
+// statusOf returns the status of a refusal: 503 guarantees that the request did not run,
+// 502 and 504 guarantee nothing.
 func statusOf(r contract.Refusal) int {
 	switch {
 	case r.Outcome == contract.NotRun:
@@ -133,7 +135,7 @@
 	Request string `json:"request"`
 }
 
-// refuse answers with the gateway's own refusal.
+// refuse answers the request with a refusal by the gateway itself.
 func (q *request) refuse(status int, r contract.Refusal) {
 	q.g.inst.refused(string(r.Outcome), string(r.Reason))
 	h := q.w.Header()
@@ -151,57 +153,58 @@
 	err := json.NewEncoder(q.w).Encode(problem{
 		Title: http.StatusText(status), Status: status, Outcome: string(r.Outcome), Reason: string(r.Reason), Request: q.id,
 	})
-	e := q.describe(q.log.Info())
+	e := q.addLogFields(q.log.Info())
 	if j := q.quarantined; j != nil {
 		e = e.Stringer("fingerprint", q.fingerprint()).Int("ends", j.Ends).Dur("latest_end", j.Since)
 	}
-	if s := q.refusedIn; s != nil {
+	if s := q.refusalSituation; s != nil {
 		e = e.Dur("back", s.Back).Int("late_waiting", s.Waiting).Int("late_served", s.Taken).Float64("late_room", s.Room)
 	}
 	e.AnErr("write", err).Int("status", status).Str("outcome", string(r.Outcome)).
 		Str("reason", string(r.Reason)).Dur("retry_after", after).Msg("request refused")
 }
 
-// describe adds what decided the request.
-func (q *request) describe(e *zerolog.Event) *zerolog.Event {
-	e = e.Str("request", q.id).Uint64("catalog", q.version).Uint64("era", q.decided.at.Era).Uint64("revision", q.decided.at.Revision).
-		Str("state_from", q.decided.source()).Dur("state_age", clock.Since(q.decided.taken)).
+// addLogFields adds the state on which the handling of the request was based to a log
+// event.
+func (q *request) addLogFields(e *zerolog.Event) *zerolog.Event {
+	e = e.Str("request", q.id).Uint64("catalog", q.version).Uint64("era", q.decidedState.at.Era).Uint64("revision", q.decidedState.at.Revision).
+		Str("state_from", q.decidedState.source()).Dur("state_age", clock.Since(q.decidedState.appliedAt)).
 		Dur("elapsed", clock.Since(q.began)).Int("attempts", q.sequence.Attempts())
 	if q.route != nil {
 		e = e.Str("route", q.route.Name).Str("service", q.service).Str("team", q.team).
-			Dur("limit", q.limit).Bool("interrupted", q.interrupted).Dur("waited", q.waited)
+			Dur("limit", q.timeout).Bool("interrupted", q.interrupted).Dur("waited", q.waited)
 	} else {
 		e = e.Str("host", q.r.Host).Str("path", q.r.URL.Path)
 	}
 	if q.atLimit > 0 {
 		e = e.Int("servers_at_limit", q.atLimit)
 	}
-	if q.resting > 0 {
-		e = e.Int("servers_resting", q.resting)
+	if q.backingOff > 0 {
+		e = e.Int("servers_resting", q.backingOff)
 	}
 	if l := q.serverLimit; l != nil {
 		e = e.Float64("server_limit", l.Limit).Str("limit_from", l.Source).Dur("limit_age", clock.Since(l.At))
 	}
 	if q.server != "" {
-		e = e.Str("server", q.server).Int("server_load", q.serverLoad).Dur("server_pace", q.serverPace).
-			Uint64("backends", q.sent.at.Revision).Str("backends_from", q.sent.source()).Dur("backends_age", clock.Since(q.sent.taken))
+		e = e.Str("server", q.server).Int("server_load", q.serverLoad).Dur("server_pace", q.serverEventGap).
+			Uint64("backends", q.sent.at.Revision).Str("backends_from", q.sent.source()).Dur("backends_age", clock.Since(q.sent.appliedAt))
 	}
 	return e
 }
 
 func (q *request) logAnswer(number uint32) {
 	q.g.inst.answered(q.route.Name, q.firstAnswer)
-	e := q.describe(q.log.Info()).Dur("first", q.firstAnswer)
+	e := q.addLogFields(q.log.Info()).Dur("first", q.firstAnswer)
 	if q.events > 0 {
 		q.g.inst.gap(q.route.Name, q.longestGap)
 		e = e.Int("events", q.events).Dur("longest_gap", q.longestGap)
 	}
-	e.Uint32("attempt", number).Str("punctuality", q.punctuality()).Msg("request answered")
+	e.Uint32("attempt", number).Str("punctuality", q.timeliness()).Msg("request answered")
 }
 
-// punctuality tells whether an answer met the route's objective and, for a stream, its
-// gap target, and which of them it missed first.
-func (q *request) punctuality() string {
+// timeliness reports whether an answer met the route's objective and, for a stream, its gap
+// target; if not, it names the first of them that was missed.
+func (q *request) timeliness() string {
 	first := q.firstAnswer
 	if first == 0 {
 		first = clock.Since(q.began)
@@ -217,9 +220,9 @@
 }
 
 func (q *request) logAttempt(number uint32, c balance.Choice, a attempt) {
-	e := q.describe(q.log.Info()).Uint32("attempt", number).Str("verdict", a.verdict.String()).Int("answer_status", a.status)
-	if a.rest > 0 {
-		e = e.Dur("rest", a.rest)
+	e := q.addLogFields(q.log.Info()).Uint32("attempt", number).Str("verdict", a.verdict.String()).Int("answer_status", a.status)
+	if a.backoff > 0 {
+		e = e.Dur("rest", a.backoff)
 	}
 	if a.liveness != 0 {
 		e = e.Str("liveness", a.liveness.String()).Stringer("fingerprint", q.fingerprint())
--- a/entry/gateway/command.go
+++ b/entry/gateway/command.go
@@ -23,18 +23,18 @@
 // NewCommand returns the subcommand for an adapter.
 func NewCommand(a Adapter) *Command { return &Command{adapter: a} }
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*Command) Name() string { return "gateway" }
 
-// Synopsis returns the command's one-line description.
+// Synopsis implements subcommands.Command.
 func (c *Command) Synopsis() string {
 	return "run an entry VM that dispatches straight to backend servers, on " + c.adapter.Name()
 }
 
-// Usage returns the command's usage.
+// Usage implements subcommands.Command.
 func (*Command) Usage() string { return "gateway -settings FILE [-check]\n" }
 
-// SetFlags sets the command's flags.
+// SetFlags implements subcommands.Command.
 func (c *Command) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.path, "settings", "", "settings file (YAML)")
 	f.BoolVar(&c.check, "check", false, "only validate the settings file")
@@ -50,9 +50,9 @@
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
 	}
-	lines := process.NewLogWriter(os.Stdout)
-	log := process.Logger(lines, s.LogLevel).With().Str("vm", s.VM).Logger()
-	g, err := New(s, c.adapter, log, lines, time.Now())
+	logWriter := process.NewLogWriter(os.Stdout)
+	log := process.Logger(logWriter, s.LogLevel).With().Str("vm", s.VM).Logger()
+	g, err := New(s, c.adapter, log, logWriter, time.Now())
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
--- a/entry/gateway/directory.go
+++ b/entry/gateway/directory.go
@@ -10,15 +10,16 @@
 	"baywall.example/core/cluster"
 )
 
-// Ready reports whether this gateway takes requests: it knows a configuration
-// and the backend servers, and is not leaving.
+// Ready reports whether this gateway accepts requests: it has a configuration and the list
+// of backend servers, is not catching up after its start and is not leaving.
 func (g *Gateway) Ready() bool {
 	return !g.leaving.Load() && g.catalog.Current() != nil && g.listed.Load() && !g.catchingUp()
 }
 
-// catchUpTime is for how long a process that has started takes no requests while others know
-// a later configuration, or something better than the store: what they have in force must not
-// go back because the store did. They are asked within 0.3 s.
+// catchUpTime is how long a process that has just started accepts no requests while other
+// gateways know a later configuration, or retain other entries in place of what the store
+// lists: what they have in force must not be reverted because the store was restored from
+// an older copy. The others are queried within 0.3 s.
 const catchUpTime = 1500 * time.Millisecond
 
 // catchingUp reports whether this gateway has just started and knows less than others.
@@ -33,45 +34,47 @@
 }
 
 const (
-	// leastEntries is how many addresses of its own zone a caller is told at least
-	// without those of other zones: two of them may have failed unheard.
-	leastEntries = 3
-	// standbyFresh is how long ago a standby may have been heard last that callers are told
-	// of: in a large fleet most standbys are heard seldom, and one may have ended since.
-	standbyFresh = 2 * time.Second
-	// standbyEvery is in which answers a standby is named too: a trickle of requests
-	// shows that those that stand by do serve.
-	standbyEvery = 16
+	// minZoneEntries is the number of active gateways in a caller's own zone from which the
+	// caller gets no addresses of other zones: two of them may have failed without being
+	// detected yet.
+	minZoneEntries = 3
+	// standbyMaxAge is the age of a standby gateway's last heartbeat from which its address
+	// is only given to callers as a last resort: in a large fleet most standby gateways
+	// send heartbeats rarely, and one may have ended since its last.
+	standbyMaxAge = 2 * time.Second
+	// standbySampleInterval makes one in that many answers name a standby gateway too: a
+	// trickle of requests verifies that standby gateways do serve.
+	standbySampleInterval = 16
 )
 
-// Entries returns where a caller may connect, as far as heard lately: the active
-// gateways of its zone, and those of other zones where that has few. Without any
-// active one it is told of all that take requests. A gateway that knows of none names
-// itself as long as it serves.
+// Entries returns the addresses that a caller may connect to, according to recent
+// heartbeats: the active gateways of its zone, and those of other zones if there are few.
+// If no gateway is active, it returns all that accept requests. A gateway that knows of no
+// other returns its own address as long as it accepts requests.
 func (g *Gateway) Entries(_ context.Context, zone string) Entries {
-	var known candidates
+	var reachable candidates
 	now := clock.Now()
 	for _, p := range g.node.Live() {
 		switch {
 		case !p.Ready:
-		case !p.Active && now.Sub(p.Heard) >= standbyFresh:
-			known.stale = append(known.stale, p.Front)
+		case !p.Active && now.Sub(p.Heard) >= standbyMaxAge:
+			reachable.stale = append(reachable.stale, p.Front)
 		default:
-			known.add(p.Zone == zone, p.Active, p.Front)
+			reachable.add(p.Zone == zone, p.Active, p.Front)
 		}
 	}
 	if g.Ready() {
-		known.add(g.settings.Zone == zone, g.activity.is(), g.settings.Listen.Front)
+		reachable.add(g.settings.Zone == zone, g.activity.isActive(), g.settings.Listen.Front)
 	}
-	all := known.choose(rand.IntN)
-	return Entries{Addresses: all[:min(len(all), g.settings.Entries.Most)], TTLSeconds: int(g.settings.Entries.TTL.Seconds())}
+	all := reachable.choose(rand.IntN)
+	return Entries{Addresses: all[:min(len(all), g.settings.Entries.MaxAddresses)], TTLSeconds: int(g.settings.Entries.TTL.Seconds())}
 }
 
-// candidates are addresses of gateways that take requests.
+// candidates are the addresses of gateways that accept requests.
 type candidates struct {
 	own, ownStandby       []string // in the caller's zone
 	others, othersStandby []string
-	stale                 []string // standbys that were heard last a while ago
+	stale                 []string // standby gateways without a recent heartbeat
 }
 
 func (c *candidates) add(own, active bool, front string) {
@@ -87,7 +90,7 @@
 	*list = append(*list, front)
 }
 
-// choose returns the addresses for one caller, those of its zone first.
+// choose returns the addresses for one caller, those of its own zone first.
 func (c *candidates) choose(draw func(n int) int) []string {
 	for _, list := range [][]string{c.own, c.ownStandby, c.others, c.othersStandby, c.stale} {
 		slices.Sort(list)
@@ -95,9 +98,9 @@
 	switch {
 	case len(c.own)+len(c.others) == 0:
 		return slices.Concat(c.ownStandby, c.othersStandby, c.stale)
-	case len(c.own) < leastEntries:
+	case len(c.own) < minZoneEntries:
 		return slices.Concat(c.own, c.others)
-	case len(c.ownStandby) > 0 && draw(standbyEvery) == 0:
+	case len(c.ownStandby) > 0 && draw(standbySampleInterval) == 0:
 		return append(c.own, c.ownStandby[draw(len(c.ownStandby))])
 	default:
 		return c.own
--- a/entry/gateway/directory_test.go
+++ b/entry/gateway/directory_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestCallersAreToldOfTheirZonesActiveGateways(t *testing.T) {
+func TestEntriesPreferActiveGatewaysOfZone(t *testing.T) {
 	never := func(int) int { return 1 }
 	for name, c := range map[string]struct {
 		known candidates
--- a/entry/gateway/dispatch.go
+++ b/entry/gateway/dispatch.go
@@ -19,84 +19,84 @@
 	"baywall.example/entry/upstream"
 )
 
-// verdict is how one attempt ended.
+// verdict is the result of one attempt.
 type verdict int
 
 // Verdicts of an attempt.
 const (
-	verdictAnswered verdict = iota + 1 // the caller has its answer
-	verdictNotSent                     // it did not reach the backend server
-	verdictRejected                    // the backend server says that it did not run
-	verdictFailed                      // it ran, and the backend server answered with an error
-	verdictLost                        // it may have run
-	verdictCut                         // as lost, after the caller has seen a part
-	verdictLeft                        // the caller left
-	verdictDeadline                    // the time was up; it may have run
-	verdictMoved                       // it was given up to go on elsewhere
-	verdictOutdated                    // it was not sent, as the decision to send it was outdated
-	verdictAtLimit                     // it was not sent, as the server is at a limit
-	verdictResting                     // it was not sent, as the server rests
+	verdictAnswered   verdict = iota + 1 // the caller has received its answer
+	verdictNotSent                       // the request did not reach the backend server
+	verdictRejected                      // the backend server reported that the request did not run
+	verdictFailed                        // the request ran, and the backend server answered with an error
+	verdictLost                          // the request may have run
+	verdictCut                           // like verdictLost, after the caller has received a part of the answer
+	verdictCallerLeft                    // the caller disconnected
+	verdictDeadline                      // the deadline passed; the request may have run
+	verdictMoved                         // the attempt was given up to resume the stream at another server
+	verdictOutdated                      // the request was not sent, as the decision to send it was outdated
+	verdictAtLimit                       // the request was not sent, as the server is at a limit
+	verdictBackoff                       // the request was not sent, as the server is in backoff
 )
 
 var verdictNames = [...]string{"", "answered", "not-sent", "rejected", "failed", "lost", "cut", "caller-left", "deadline", "moved", "outdated", "at-limit", "resting"}
 
 func (v verdict) String() string { return verdictNames[v] }
 
-// heldBack reports whether the request was not sent to the server as something became known that
-// speaks against it.
-func (v verdict) heldBack() bool {
-	return v == verdictOutdated || v == verdictAtLimit || v == verdictResting
+// withheld reports whether the request was deliberately not sent, because a reason against
+// it became known after the server had been picked.
+func (v verdict) withheld() bool {
+	return v == verdictOutdated || v == verdictAtLimit || v == verdictBackoff
 }
 
-// attempt is one try at one backend server.
+// attempt is the result of one attempt at one backend server.
 type attempt struct {
 	verdict verdict
-	// status, header and body are the answer of a failed attempt.
-	status int
-	header http.Header
-	body   []byte
-	err    error
-	reason contract.Reason
-	rest   time.Duration // that the server asked for
-	// liveness of the backend server after a lost attempt, 0 = not looked at.
+	// status, header and body are the answer to an attempt that failed.
+	status  int
+	header  http.Header
+	body    []byte
+	err     error
+	reason  contract.Reason
+	backoff time.Duration // backoff that the server requested
+	// liveness is the state of the backend server after a lost attempt, 0 = not checked.
 	liveness upstream.Liveness
 }
 
-// dispatch attempts the request until it has an end.
+// dispatch attempts the request until it is answered or refused.
 func (q *request) dispatch() {
 	ctx, cancel := clock.WithDeadline(q.ctx, q.deadline)
 	defer cancel()
 	stream := &streamState{}
 	for {
-		choice, found := q.await(ctx)
+		choice, found := q.awaitServer(ctx)
 		if found != balance.Available {
 			q.giveUp(found, stream)
 			return
 		}
-		if !q.charge() {
+		if !q.chargeRetry() {
 			choice.Release()
-			q.suspect.Release()
+			q.quarantineAttempt.Release()
 			q.giveUp(balance.AllBusy, stream)
 			return
 		}
 		number := q.sequence.Begin()
 		a := q.try(ctx, choice, stream)
 		q.g.inst.attempted(q.service, a.verdict.String())
-		q.noteEnd(ctx, choice.Server, &a)
-		q.suspect.Release()
+		q.recordOutcome(ctx, choice.Server, &a)
+		q.quarantineAttempt.Release()
 		if a.verdict == verdictAnswered {
 			q.logAnswer(number)
 			return
 		}
 		q.logAttempt(number, choice, a)
-		if a.verdict == verdictLeft {
-			q.left(stream)
+		if a.verdict == verdictCallerLeft {
+			q.callerLeft(stream)
 			return
 		}
 		if a.verdict == verdictMoved {
 			continue
 		}
-		if a.verdict.heldBack() {
+		if a.verdict.withheld() {
 			q.sequence.Void()
 			continue
 		}
@@ -113,7 +113,7 @@
 // giveUp ends a request for which no server was found.
 func (q *request) giveUp(found balance.Availability, stream *streamState) {
 	if q.ctx.Err() != nil {
-		q.left(stream)
+		q.callerLeft(stream)
 		return
 	}
 	if q.denied != nil {
@@ -138,7 +138,7 @@
 	q.finish(q.sequence.Next(retry.EventNotSent, refusal, q.deadline), attempt{verdict: verdictNotSent}, stream)
 }
 
-// prepareRetry notes what the attempt means for the next one.
+// prepareRetry records what the failed attempt means for the next one.
 func (q *request) prepareRetry(c balance.Choice, v verdict) {
 	switch v {
 	case verdictRejected:
@@ -151,29 +151,30 @@
 	}
 }
 
-// deferredBudget asks for a retry when the decision falls and uses it up when the
-// attempt begins: until then the request may be refused for lack of a server.
+// deferredBudget checks that the budget has a retry left when the decision is made, and
+// charges the retry when the attempt begins: in between, the request may still be refused
+// for lack of a server.
 type deferredBudget struct {
-	share *retry.Share
-	owed  bool
+	retryShare *retry.Share
+	chargeDue  bool
 }
 
-// Take reports whether there is a retry to use up.
+// Take reports whether the budget has a retry left.
 func (b *deferredBudget) Take() bool {
-	b.owed = b.share.Has()
-	return b.owed
+	b.chargeDue = b.retryShare.Has()
+	return b.chargeDue
 }
 
-// charge uses up the retry that the next attempt needs.
-func (q *request) charge() bool {
-	if !q.budget.owed {
+// chargeRetry charges the retry that the next attempt needs.
+func (q *request) chargeRetry() bool {
+	if !q.budget.chargeDue {
 		return true
 	}
-	q.budget.owed = false
-	return q.budget.share.Take()
+	q.budget.chargeDue = false
+	return q.budget.retryShare.Take()
 }
 
-// next decides what follows an attempt without an answer.
+// next decides what follows an attempt that produced no answer.
 func (q *request) next(a attempt) retry.Decision {
 	now := clock.Now()
 	switch a.verdict {
@@ -188,40 +189,40 @@
 	}
 }
 
-// try makes one attempt.
+// try makes one attempt at the chosen server.
 func (q *request) try(ctx context.Context, c balance.Choice, stream *streamState) attempt {
 	defer c.Release()
-	q.server, q.serverLoad, q.serverPace, q.sent = c.Server.ID, c.InFlight, c.Pace, q.g.knows()
+	q.server, q.serverLoad, q.serverEventGap, q.sent = c.Server.ID, c.InFlight, c.Pace, q.g.applied()
 	q.serverLimit = q.g.limits.limitOf(c.Server)
 	began := clock.Now()
-	q.suspect.Send(quarantine.ServerKey(c.Server.Incarnation()), began)
+	q.quarantineAttempt.Send(quarantine.ServerKey(c.Server.Incarnation()), began)
 	if q.route.Kind == catalog.KindStream {
 		c.Server.Pace.Sent(began)
 		answered := sync.OnceFunc(c.Server.Pace.Answered)
 		defer answered()
-		stream.onEvent = func() {
+		stream.onFirstEvent = func() {
 			answered()
-			q.noteFirst(c, began)
+			q.recordFirstAnswer(c, began)
 		}
 	}
 	sent := began
 	answer, err := c.Server.Pool.Do(ctx, q.upstreamRequest(ctx, c, stream, &sent))
 	switch {
 	case errors.Is(err, errOutdated):
-		return q.judge(ctx, c, attempt{verdict: verdictOutdated, err: err})
+		return q.classify(ctx, c, attempt{verdict: verdictOutdated, err: err})
 	case errors.Is(err, ratelimit.ErrClosed):
-		return q.judge(ctx, c, attempt{verdict: verdictAtLimit, err: err})
+		return q.classify(ctx, c, attempt{verdict: verdictAtLimit, err: err})
 	case errors.Is(err, balance.ErrResting):
-		return q.judge(ctx, c, attempt{verdict: verdictResting, err: err})
+		return q.classify(ctx, c, attempt{verdict: verdictBackoff, err: err})
 	}
 	if err != nil {
-		return q.judge(ctx, c, attempt{verdict: lostOrNotSent(err), err: err, reason: contract.ReasonEngineDial})
+		return q.classify(ctx, c, attempt{verdict: lostOrNotSent(err), err: err, reason: contract.ReasonEngineDial})
 	}
 	defer answer.Close()
-	said := q.g.hear(c.Server, answer, sent, askedRequest)
+	reported := q.g.receiveNotice(c.Server, answer, sent, viaRequest)
 	if a, done := q.rejection(answer); done {
-		a.rest = said.Rest
-		return q.judge(ctx, c, a)
+		a.backoff = reported.Rest
+		return q.classify(ctx, c, a)
 	}
 	q.g.registry.Accepted(c.Server, clock.Now())
 	q.g.suspects.Answered(quarantine.ServerKey(c.Server.Incarnation()), answer.Opened, began)
@@ -235,16 +236,16 @@
 		q.g.registry.Occupied(q.service, clock.Since(began))
 	}
 	if a.verdict == verdictAnswered && q.route.Kind != catalog.KindStream {
-		q.noteFirst(c, began)
+		q.recordFirstAnswer(c, began)
 	}
-	return q.judge(ctx, c, a)
+	return q.classify(ctx, c, a)
 }
 
-// noteFirst notes the first answer to an attempt.
-func (q *request) noteFirst(c balance.Choice, began time.Time) {
+// recordFirstAnswer records the first answer to an attempt, or the first event of a stream.
+func (q *request) recordFirstAnswer(c balance.Choice, began time.Time) {
 	now := clock.Now()
-	if stood := q.state.answered(now.Sub(began), c.InFlight < c.Server.Slots, now); stood > 0 {
-		q.log.Info().Str("service", q.service).Str("server", c.Server.ID).Dur("stood", stood).Msg("service serves again")
+	if outageLength := q.state.observeFirstAnswer(now.Sub(began), c.InFlight < c.Server.Slots, now); outageLength > 0 {
+		q.log.Info().Str("service", q.service).Str("server", c.Server.ID).Dur("stood", outageLength).Msg("service serves again")
 	}
 }
 
@@ -255,9 +256,9 @@
 	return verdictLost
 }
 
-// judge tells an end of the caller or of its time from one of the backend
-// server, and notes the latter.
-func (q *request) judge(ctx context.Context, c balance.Choice, a attempt) attempt {
+// classify distinguishes an attempt that ended because of the caller or its deadline from
+// one that ended because of the backend server, and records the latter in the registry.
+func (q *request) classify(ctx context.Context, c balance.Choice, a attempt) attempt {
 	if a.verdict == verdictMoved {
 		q.g.registry.Succeeded(c.Server)
 		return a
@@ -267,8 +268,8 @@
 		q.g.registry.Released(c.Server)
 		switch {
 		case q.ctx.Err() != nil:
-			a.verdict = verdictLeft
-		case a.verdict != verdictNotSent && !a.verdict.heldBack() && a.verdict != verdictCut:
+			a.verdict = verdictCallerLeft
+		case a.verdict != verdictNotSent && !a.verdict.withheld() && a.verdict != verdictCut:
 			a.verdict = verdictDeadline
 		}
 		return a
@@ -276,14 +277,14 @@
 	switch a.verdict {
 	case verdictAnswered:
 		q.g.registry.Succeeded(c.Server)
-	case verdictOutdated, verdictAtLimit, verdictResting:
+	case verdictOutdated, verdictAtLimit, verdictBackoff:
 		q.g.registry.Released(c.Server)
 	case verdictRejected:
 		switch {
 		case a.reason == contract.ReasonReplacedAgent:
 			q.g.registry.Replaced(c.Server)
-		case a.rest > 0:
-			q.g.registry.Released(c.Server) // it said until when it is left out
+		case a.backoff > 0:
+			q.g.registry.Released(c.Server) // the server is excluded for the backoff that it requested
 		default:
 			q.g.registry.Rejected(c.Server, clock.Now())
 		}
@@ -297,7 +298,8 @@
 	return a
 }
 
-// upstreamRequest returns what is sent. The time at which it is goes to sent.
+// upstreamRequest returns the request to be sent. When it is sent, it stores the time in
+// sent.
 func (q *request) upstreamRequest(ctx context.Context, c balance.Choice, stream *streamState, sent *time.Time) *upstream.Request {
 	h := q.header.Clone()
 	left := max(0, clock.Until(q.deadline))
@@ -310,14 +312,14 @@
 		Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Header: h, Body: q.body,
 		IDHeader: q.g.headers.RequestID, Fresh: !q.route.Idempotent(),
 		Check: func() error {
-			err := q.mayGoNow(ctx, c.Server)
+			err := q.checkAtSend(ctx, c.Server)
 			*sent = clock.Now()
 			return err
 		},
 	}
 }
 
-// rejection recognizes an answer that says that the request did not run.
+// rejection recognizes an answer which says that the request did not run.
 func (q *request) rejection(answer *upstream.Answer) (attempt, bool) {
 	notRun := answer.Header.Get(q.g.headers.NotRun) != ""
 	switch {
--- a/entry/gateway/drain.go
+++ b/entry/gateway/drain.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// lingerTime is how long a leaving gateway goes on taking requests: callers
-	// that just asked keep its address for the entries' TTL.
+	// lingerTime is how long a leaving gateway keeps accepting requests: a caller that has
+	// just queried the directory keeps the gateway's address for the TTL of its entries.
 	lingerTime = 2500 * time.Millisecond
-	// killMargin is left before the platform kills the process.
+	// killMargin is the time reserved before the platform kills the process.
 	killMargin = 600 * time.Millisecond
 	// closeTimeout bounds the closing of idle connections.
 	closeTimeout = 100 * time.Millisecond
 )
 
-// Stop leaves the fleet. Callers are told at once that they should connect
-// elsewhere. Those that come all the same are served for the linger time; then
-// nothing new is taken, as it might not end in time, and the process ends when
-// no request is in flight. The context's end cuts that short.
+// Stop removes the gateway from the fleet. Callers are told at once to connect elsewhere.
+// Requests that still arrive are served for lingerTime. After that no new request is
+// accepted, as it might not end in time, and the process ends when no request is in flight.
+// The end of the context cuts this short.
 func (g *Gateway) Stop(ctx context.Context) error {
 	began := clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, g.settings.Drain.Grace-killMargin)
@@ -36,7 +36,7 @@
 		g.closeServer(s)
 	}
 	g.cancel()
-	g.lines.Flush()
+	g.logWriter.Flush()
 	return nil
 }
 
@@ -53,6 +53,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if err := s.Shutdown(ctx); err != nil {
-		g.log.Warn().Err(err).Msg("connections were still in use")
+		g.log.Warn().Err(err).Msg("connections still in use at shutdown")
 	}
 }
--- a/entry/gateway/entries.go
+++ b/entry/gateway/entries.go
@@ -11,41 +11,43 @@
 	"baywall.example/entry/catalog"
 )
 
-// known is what this gateway last took over from the store, for logs and for others.
-type known struct {
+// appliedState identifies the store state that this gateway applied last, for logs and for
+// other gateways.
+type appliedState struct {
 	at, changed source.Position
-	from        string    // the gateway that it was taken from, empty = the store itself
-	taken       time.Time // when
+	from        string // the gateway that it came from, empty = the store itself
+	appliedAt   time.Time
 }
 
-// source names where it was taken from.
-func (k known) source() string {
+// source returns the name of the gateway that the state came from, or "store".
+func (k appliedState) source() string {
 	if k.from == "" {
 		return "store"
 	}
 	return k.from
 }
 
-// knows returns what was last taken over; its zero value if nothing was.
-func (g *Gateway) knows() known {
-	if k := g.known.Load(); k != nil {
+// applied returns the state that was applied last, or its zero value if there was none.
+func (g *Gateway) applied() appliedState {
+	if k := g.appliedState.Load(); k != nil {
 		return *k
 	}
-	return known{}
+	return appliedState{}
 }
 
-// rules tell which entries are newer than what the store lists that is back from an older
-// copy.
+// rules returns the rules that decide which entries are newer than those that the store
+// lists after it was restored from an older copy.
 //
 //   - A configuration with a lower version than the known one is older: versions only rise.
-//     One with the same version and another content was written after the return.
-//   - A backend server that said that it leaves does not come back in one incarnation, so
-//     an entry that says otherwise is older. Of two incarnations the one that began first is.
-//     Entries that tell no begin and have two addresses cannot be told apart: the store
-//     counts.
-//   - An entry that was removed and is listed again is older until the store's lease is over.
-//   - An evacuation that the copy lacks goes on until it is taken back: to send to a backend
-//     server that is to get nothing is worse than to spare one.
+//     One with the same version and different content was written after the restore.
+//   - A backend server that reported that it leaves does not return in the same incarnation,
+//     so an entry that says otherwise is older. Of two incarnations, the one that started first
+//     is older. Entries that give no start time and have two addresses cannot be ordered: the
+//     store's entry counts.
+//   - An entry that was removed and is listed again is older until the store's lease has
+//     expired.
+//   - An evacuation that the copy lacks continues until it is withdrawn: sending to a backend
+//     server that must get nothing is worse than sparing one needlessly.
 func (g *Gateway) rules() source.Rules {
 	return source.Rules{
 		Outdated: g.outdated,
@@ -54,13 +56,13 @@
 			return evacuation || key == g.adapter.CatalogKey()
 		},
 		Permanent: func(key string) bool { return key == g.adapter.CatalogKey() },
-		Leaving:   g.leavingEntry,
+		Leaving:   g.isLeavingEntry,
 		Lease:     g.settings.Follow.lease(),
 	}
 }
 
-// leavingEntry reports whether an entry is of a backend server that leaves.
-func (g *Gateway) leavingEntry(i source.Item) bool {
+// isLeavingEntry reports whether an entry belongs to a backend server that leaves.
+func (g *Gateway) isLeavingEntry(i source.Item) bool {
 	if !strings.HasPrefix(i.Key, g.adapter.BackendsPrefix()) {
 		return false
 	}
@@ -85,7 +87,7 @@
 	}
 	before, err := g.adapter.DecodeCatalog(known.Value)
 	if err != nil {
-		return false // it never was in force
+		return false // it was never in force
 	}
 	after, err := g.adapter.DecodeCatalog(listed.Value)
 	return err != nil || after.Version < before.Version
@@ -98,7 +100,7 @@
 	}
 	after, err := g.adapter.DecodeBackend(listed.Key, listed.Value)
 	if err != nil {
-		return false // it names none now
+		return false // it names no server now
 	}
 	if before.Started != after.Started && before.Started != 0 && after.Started != 0 {
 		return after.Started < before.Started
@@ -106,34 +108,35 @@
 	return before.Address == after.Address && before.Draining && !after.Draining
 }
 
-// take takes over what the store holds.
-func (g *Gateway) take(u source.Update) {
-	g.takeCatalog(u)
-	g.takeEvacuations(u)
-	g.takeBackends(u)
-	g.known.Store(&known{at: u.Position, changed: u.Changed, from: u.From, taken: clock.Now()})
+// applyUpdate applies what the store holds.
+func (g *Gateway) applyUpdate(u source.Update) {
+	g.applyCatalog(u)
+	g.applyEvacuations(u)
+	g.applyBackends(u)
+	g.appliedState.Store(&appliedState{at: u.Position, changed: u.Changed, from: u.From, appliedAt: clock.Now()})
 	g.listed.Store(true)
 }
 
-// document is the configuration entry that was looked at last.
-type document struct {
+// catalogEntry is the configuration entry that was processed last.
+type catalogEntry struct {
 	at    source.Position
 	value []byte
 }
 
-// takeCatalog puts a published configuration in force.
-func (g *Gateway) takeCatalog(u source.Update) {
+// applyCatalog puts a published configuration into force.
+func (g *Gateway) applyCatalog(u source.Update) {
 	item, ok := u.Items[g.adapter.CatalogKey()]
 	if !ok {
 		g.log.Warn().Uint64("era", u.Era).Uint64("revision", u.Revision).Msg("no configuration is published")
 		return
 	}
-	if item.Position == g.document.at {
+	if item.Position == g.catalogEntry.at {
 		return
 	}
-	// Another content of the same version can only be from after the store's return.
-	rewritten := item.Era > g.document.at.Era && !bytes.Equal(item.Value, g.document.value)
-	g.document = document{at: item.Position, value: item.Value}
+	// Different content with the same version can only have been written after the store
+	// was restored.
+	rewritten := item.Era > g.catalogEntry.at.Era && !bytes.Equal(item.Value, g.catalogEntry.value)
+	g.catalogEntry = catalogEntry{at: item.Position, value: item.Value}
 	content, err := g.adapter.DecodeCatalog(item.Value)
 	var next *catalog.Snapshot
 	if err == nil {
@@ -153,18 +156,18 @@
 		Str("from", u.From).Int("routes", len(content.Routes)).Int("teams", len(content.Teams)).Msg("configuration in force")
 }
 
-// takeBackends takes over the list of backend servers.
-func (g *Gateway) takeBackends(u source.Update) {
+// applyBackends applies the list of backend servers.
+func (g *Gateway) applyBackends(u source.Update) {
 	list := make([]balance.Info, 0, len(u.Items))
-	refused := make(map[string]source.Position)
+	refusedEntries := make(map[string]source.Position)
 	for key, item := range u.Items {
 		if !strings.HasPrefix(key, g.adapter.BackendsPrefix()) {
 			continue
 		}
 		info, err := g.adapter.DecodeBackend(key, item.Value)
 		if err != nil {
-			refused[key] = item.Position
-			if before, ok := g.refused[key]; !ok || before != item.Position { // each is logged once
+			refusedEntries[key] = item.Position
+			if before, ok := g.refusedEntries[key]; !ok || before != item.Position { // each is logged once
 				g.inst.entriesRefused.Inc()
 				g.log.Error().Err(err).Str("key", key).Uint64("era", item.Era).Uint64("revision", item.Revision).Msg("backend server refused")
 			}
@@ -173,8 +176,8 @@
 		info.At = item.Position
 		list = append(list, info)
 	}
-	g.refused = refused
+	g.refusedEntries = refusedEntries
 	now := clock.Now()
 	g.registry.Update(list, u.Position, u.Absence, now)
-	g.limits.takeCold(list, now)
+	g.limits.updateCold(list, now)
 }
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -21,8 +21,9 @@
 	return source.Item{Key: key, Value: raw}
 }
 
-// What tells an old copy from an entry that was written anew, for each kind of entry.
-func TestWhichEntryIsOutdated(t *testing.T) {
+// An entry from an older copy of the store is distinguished from one that was written
+// later, for each kind of entry.
+func TestOutdatedEntries(t *testing.T) {
 	config := func(version uint64, n int) source.Item {
 		return entry(t, "catalog", catalog.Content{Version: version, Routes: routes()[:n]})
 	}
@@ -38,17 +39,17 @@
 		outdated      bool
 	}{
 		{"a lower version", config(5, 1), config(4, 1), true},
-		{"the same", config(5, 1), config(5, 1), false},
-		{"the same version, written anew", config(5, 1), config(5, 2), false},
+		{"identical", config(5, 1), config(5, 1), false},
+		{"the same version with new content", config(5, 1), config(5, 2), false},
 		{"a higher version", config(5, 1), config(6, 1), false},
-		{"a copy that cannot be read", config(5, 1), broken("catalog"), true},
-		{"what could not be read before", broken("catalog"), config(4, 1), false},
-		{"said that it leaves", server(balance.Info{Address: here, Draining: true}), server(balance.Info{Address: here}), true},
-		{"says that it leaves now", server(balance.Info{Address: here}), server(balance.Info{Address: here, Draining: true}), false},
-		{"left, and began anew", server(balance.Info{Address: here, Draining: true, Started: 1}), server(balance.Info{Address: here, Started: 2}), false},
-		{"the one before it", server(balance.Info{Address: here, Started: 2}), server(balance.Info{Address: here, Started: 1}), true},
-		{"left at another address, no start told", server(balance.Info{Address: here, Draining: true}), server(balance.Info{Address: there}), false},
-		{"an entry of others", source.Item{Key: "other", Value: []byte("2")}, source.Item{Key: "other", Value: []byte("1")}, false},
+		{"undecodable copy", config(5, 1), broken("catalog"), true},
+		{"undecodable before", broken("catalog"), config(4, 1), false},
+		{"leaving before, not leaving in the copy", server(balance.Info{Address: here, Draining: true}), server(balance.Info{Address: here}), true},
+		{"starts to leave", server(balance.Info{Address: here}), server(balance.Info{Address: here, Draining: true}), false},
+		{"left and restarted", server(balance.Info{Address: here, Draining: true, Started: 1}), server(balance.Info{Address: here, Started: 2}), false},
+		{"earlier incarnation", server(balance.Info{Address: here, Started: 2}), server(balance.Info{Address: here, Started: 1}), true},
+		{"left, other address, no start time", server(balance.Info{Address: here, Draining: true}), server(balance.Info{Address: there}), false},
+		{"unrelated key", source.Item{Key: "other", Value: []byte("2")}, source.Item{Key: "other", Value: []byte("1")}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -58,32 +59,32 @@
 	}
 }
 
-// A version that is in force stays where the store lists a lower one since it is back, and
-// one of the same version is taken that was written anew.
-func TestTheConfigurationInForceDoesNotGoBack(t *testing.T) {
+// A configuration in force is kept if the restored store lists a lower version, and
+// replaced if the store lists the same version with content written after the restore.
+func TestCatalogVersionNeverRegresses(t *testing.T) {
 	is := is.New(t)
 	w := start(t, 0, ok)
 	g := w.gateway
 	take := func(era, revision, version uint64, n int) {
 		i := entry(t, "catalog", catalog.Content{Version: version, Routes: routes()[:n]})
 		i.Position = source.Position{Era: era, Revision: revision}
-		g.takeCatalog(source.Update{Items: map[string]source.Item{"catalog": i}, Position: i.Position})
+		g.applyCatalog(source.Update{Items: map[string]source.Item{"catalog": i}, Position: i.Position})
 	}
 	take(1, 7, 7, 2)
 	is.Equal(g.catalog.Version(), uint64(7))
-	take(2, 4, 4, 5) // the copy
+	take(2, 4, 4, 5) // the restored older copy
 	is.Equal(g.catalog.Version(), uint64(7))
-	take(2, 7, 8, 3) // at the revision that version 7 had
+	take(2, 7, 8, 3) // at the revision that version 7 had before
 	is.Equal(g.catalog.Version(), uint64(8))
 	before := g.catalog.Current()
-	take(2, 9, 8, 4) // in one era a version has one content
+	take(2, 9, 8, 4) // within one store term, a version has only one content
 	is.Equal(g.catalog.Current(), before)
-	take(3, 5, 8, 1) // the same version, written anew
+	take(3, 5, 8, 1) // the same version, written after another restore
 	is.True(g.catalog.Current() != before)
 	is.True(g.catalog.Current().Match("h", "/many/x") == nil)
 }
 
-func TestAStateKeepsItsErasOnTheWay(t *testing.T) {
+func TestStateRoundTripKeepsPositions(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	state := source.State{
--- a/entry/gateway/evacuation.go
+++ b/entry/gateway/evacuation.go
@@ -7,14 +7,14 @@
 	"baywall.example/core/source"
 )
 
-// Operators ask in the store for an availability zone to be evacuated: until they take that
-// back, nothing new is sent to its backend servers. What is under way there ends by itself.
-// The entries are followed like the configuration, so that each gateway knows them before it
-// takes requests; package balance leaves the servers out, and every request is checked again
-// at the moment of sending.
+// Operators request the evacuation of an availability zone through an entry in the store.
+// Until they withdraw it, nothing new is sent to the backend servers of the zone; requests
+// in progress there run to their end. The entries are followed like the configuration, so
+// that each gateway knows them before it accepts requests. Package balance leaves the
+// servers out, and every request is checked again at the moment of sending.
 
-// takeEvacuations takes over which availability zones are evacuated.
-func (g *Gateway) takeEvacuations(u source.Update) {
+// applyEvacuations applies the set of evacuated availability zones.
+func (g *Gateway) applyEvacuations(u source.Update) {
 	zones := make(map[string]bool)
 	for key := range u.Items {
 		if zone, ok := g.adapter.EvacuatedZone(key); ok {
@@ -22,11 +22,11 @@
 		}
 	}
 	before, now := g.registry.Evacuated(), clock.Now()
-	back, changed := g.registry.Evacuate(zones, now)
+	returned, changed := g.registry.Evacuate(zones, now)
 	if !changed {
 		return
 	}
 	g.log.Info().Str("zones", strings.Join(g.registry.Evacuated(), ",")).Str("before", strings.Join(before, ",")).
-		Uint64("era", u.Era).Uint64("revision", u.Revision).Str("from", u.From).Int("servers_back", len(back)).Msg("evacuated availability zones changed")
-	g.limits.warmUp(back, now)
+		Uint64("era", u.Era).Uint64("revision", u.Revision).Str("from", u.From).Int("servers_back", len(returned)).Msg("evacuated availability zones changed")
+	g.limits.markReturnedCold(returned, now)
 }
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -27,50 +27,50 @@
 	"baywall.example/entry/retry"
 )
 
-// ErrStart means that the gateway could not begin to serve.
+// ErrStart means that the gateway could not start serving.
 var ErrStart = eris.New("gateway: cannot start")
 
 const (
-	// idleTimeout is how long a caller's idle connection is kept: longer than
-	// any limit that operators publish, since callers rely on that.
+	// idleTimeout is how long a caller's idle connection is kept open. It is longer than
+	// any limit that operators publish, since callers rely on that limit.
 	idleTimeout = 75 * time.Second
-	// headerTimeout bounds how long a caller may take to send a header.
+	// headerTimeout bounds the time that a caller may take to send its header.
 	headerTimeout = 15 * time.Second
-	// maxHeader bounds a caller's header, in bytes.
+	// maxHeader is the largest header accepted from a caller, in bytes.
 	maxHeader = 64 << 10
-	// expireInterval is how often grace periods are looked at.
-	expireInterval = follow.LookInterval
+	// maintainInterval is the interval between runs of the periodic maintenance.
+	maintainInterval = follow.LookInterval
 )
 
-// Gateway is the process of an entry VM that dispatches straight to backend
+// Gateway is the process of an entry VM that dispatches requests straight to backend
 // servers. It implements process.Service and Directory.
 type Gateway struct {
-	settings Settings
-	adapter  Adapter
-	headers  Headers
-	log      zerolog.Logger
-	lines    *process.LogWriter
-
-	incarnation vm.Incarnation
-	began       time.Time
-	catalog     catalog.Store
-	registry    *balance.Registry
-	node        *cluster.Node
-	inst        *instruments
-	shares      sync.Map // service -> *retry.Share
-	services    sync.Map // service -> *serviceState
-	activity    activity
-	suspects    *quarantine.Table
-	limits      *limits
-
-	follower *source.Follower
-	peering  *peering
-	document document
-	refused  map[string]source.Position // of entries that name no backend server, by key
-	known    atomic.Pointer[known]
-	listed   atomic.Bool
-	leaving  atomic.Bool
-	inFlight atomic.Int64
+	settings  Settings
+	adapter   Adapter
+	headers   Headers
+	log       zerolog.Logger
+	logWriter *process.LogWriter
+
+	incarnation   vm.Incarnation
+	began         time.Time
+	catalog       catalog.Store
+	registry      *balance.Registry
+	node          *cluster.Node
+	inst          *instruments
+	retryShares   sync.Map // service -> *retry.Share
+	serviceStates sync.Map // service -> *serviceState
+	activity      activity
+	suspects      *quarantine.Table
+	limits        *limits
+
+	follower       *source.Follower
+	peering        *peering
+	catalogEntry   catalogEntry
+	refusedEntries map[string]source.Position // entries that could not be decoded, by key
+	appliedState   atomic.Pointer[appliedState]
+	listed         atomic.Bool
+	leaving        atomic.Bool
+	inFlight       atomic.Int64
 
 	servers []*http.Server
 	front   *http.Server
@@ -78,10 +78,10 @@
 	cancel  context.CancelFunc
 }
 
-// New returns a gateway that is not yet started.
-func New(s Settings, a Adapter, log zerolog.Logger, lines *process.LogWriter, now time.Time) (*Gateway, error) {
+// New returns a gateway that has not been started.
+func New(s Settings, a Adapter, log zerolog.Logger, logWriter *process.LogWriter, now time.Time) (*Gateway, error) {
 	g := &Gateway{
-		settings: s, adapter: a, headers: a.Headers(), log: log, lines: lines,
+		settings: s, adapter: a, headers: a.Headers(), log: log, logWriter: logWriter,
 		incarnation: vm.NewIncarnation(now), began: clock.Now(),
 	}
 	node, err := cluster.NewNode(s.Listen.Peers, s.Seeds, cluster.DefaultPerPeer, g.self, log)
@@ -96,23 +96,23 @@
 	g.registry = balance.NewRegistry(node, s.Zone, log)
 	g.limits = newLimits(g)
 	g.registry.LimitBy(g.limits)
-	node.OnLimits(g.limits.hear)
+	node.OnLimits(g.limits.receiveReports)
 	g.peering = newPeering(g)
-	node.OnMet(g.peering.met)
+	node.OnMet(g.peering.peerMet)
 	g.follower = &source.Follower{
-		Store: a.Store(s.Store, log), Log: log, Deliver: g.take, Within: s.Follow.Within, Rules: g.rules(),
-		Others: g.followers, Duty: func() source.Duty { return g.peering.decideDuty() },
+		Store: a.Store(s.Store, log), Log: log, Deliver: g.applyUpdate, Within: s.Follow.Within, Rules: g.rules(),
+		Others: g.followers, Duty: func() source.Duty { return g.peering.decideRole() },
 	}
 	g.inst = newInstruments(gauges{
 		catalogVersion:   func() float64 { return float64(g.catalog.Version()) },
-		storeEra:         func() float64 { return float64(g.knows().at.Era) },
-		backendsRevision: func() float64 { return float64(g.knows().at.Revision) },
+		storeTerm:        func() float64 { return float64(g.applied().at.Era) },
+		backendsRevision: func() float64 { return float64(g.applied().at.Revision) },
 		peers:            func() float64 { return float64(len(node.Live())) },
 		suspects:         func() float64 { return float64(g.suspects.Size()) },
 		limited:          func() float64 { return float64(g.limits.Limited()) },
 		evacuated:        func() float64 { return float64(len(g.registry.Evacuated())) },
 		permits:          g.limits.Counts,
-		logDropped:       func() float64 { return float64(lines.Dropped()) },
+		logDropped:       func() float64 { return float64(logWriter.Dropped()) },
 	})
 	return g, nil
 }
@@ -121,16 +121,16 @@
 	return cluster.Self{
 		VM: vm.ID(g.settings.VM), Incarnation: g.incarnation, Zone: g.settings.Zone,
 		Address: g.settings.Listen.Peers, Front: g.settings.Listen.Front, Ready: g.Ready(),
-		CatalogVersion: g.catalog.Version(), StoreChanged: g.knows().changed, Retained: g.follower.Retained(),
+		CatalogVersion: g.catalog.Version(), StoreChanged: g.applied().changed, Retained: g.follower.Retained(),
 		Load: g.registry.OwnLoad(clock.Now()), StoreHeard: g.follower.Heard(), StoreFailing: g.follower.Failing(),
 		Found: g.registry.Found(clock.Now()), Suspects: g.suspects.Told, Limits: g.limits.table.Told,
 		Activity: cluster.Activity{
-			Active: g.activity.is() && !g.leaving.Load(), Millicores: g.settings.Machine.millicores(), Arrivals: g.activity.rate(),
+			Active: g.activity.isActive() && !g.leaving.Load(), Millicores: g.settings.Machine.millicores(), Arrivals: g.activity.rate(),
 		},
 	}
 }
 
-// Start listens and begins to follow the store and the other gateways.
+// Start opens the listeners and begins to follow the store and the other gateways.
 func (g *Gateway) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
@@ -162,8 +162,8 @@
 	}
 	g.run.Go(func() { g.node.Run(ctx) })
 	g.run.Go(func() { g.follower.Run(ctx) })
-	g.run.Go(func() { g.expire(ctx) })
-	g.run.Go(func() { g.probe(ctx) })
+	g.run.Go(func() { g.maintain(ctx) })
+	g.run.Go(func() { g.runProbes(ctx) })
 	g.run.Go(func() { g.peering.run(ctx) })
 	g.log.Info().Str("adapter", g.adapter.Name()).Uint64("incarnation", uint64(g.incarnation)).
 		Str("front", g.settings.Listen.Front).Str("store", g.settings.Store).Strs("seeds", g.settings.Seeds).Msg("started")
@@ -184,14 +184,14 @@
 	return nil
 }
 
-// listenPeers takes links of other gateways.
+// listenPeers accepts links from other gateways.
 func (g *Gateway) listenPeers(ctx context.Context) error {
 	ln, err := net.Listen("tcp4", g.settings.Listen.Peers)
 	if err != nil {
 		return eris.Wrapf(ErrStart, "%s: %v", g.settings.Listen.Peers, err)
 	}
 	context.AfterFunc(ctx, func() {
-		_ = ln.Close() // nothing more is taken
+		_ = ln.Close() // no further links are accepted
 		g.peering.pool.Close()
 	})
 	g.run.Go(func() {
@@ -202,8 +202,9 @@
 	return nil
 }
 
-func (g *Gateway) expire(ctx context.Context) {
-	ticker := time.NewTicker(expireInterval)
+// maintain runs the periodic maintenance until the context ends.
+func (g *Gateway) maintain(ctx context.Context) {
+	ticker := time.NewTicker(maintainInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -211,31 +212,31 @@
 			return
 		case <-ticker.C:
 			now := clock.Now()
-			g.registry.Expire(g.knows().at, now)
+			g.registry.Expire(g.applied().at, now)
 			g.suspects.Expire(now)
-			g.limits.expire(now)
+			g.limits.maintain(now)
 			g.decideActivity(now)
-			g.peering.look(ctx)
+			g.peering.reconcile(ctx)
 			g.peering.pool.Trim(now.Add(-linkIdle))
 			g.follower.Recheck()
 		}
 	}
 }
 
-// share returns this gateway's part of the service's retries.
-func (g *Gateway) share(service string) *retry.Share {
-	if s, ok := g.shares.Load(service); ok {
+// retryShare returns this gateway's share of the retry budget of the service.
+func (g *Gateway) retryShare(service string) *retry.Share {
+	if s, ok := g.retryShares.Load(service); ok {
 		return s.(*retry.Share)
 	}
 	limit := retry.Limit{Ratio: g.settings.Retry.Ratio, Slack: g.settings.Retry.Slack, Window: g.settings.Retry.Window}
-	s, _ := g.shares.LoadOrStore(service, retry.NewShare(limit, g.sharers, g.began, clock.Now))
+	s, _ := g.retryShares.LoadOrStore(service, retry.NewShare(limit, g.retrySharers, g.began, clock.Now))
 	return s.(*retry.Share)
 }
 
-// sharers returns among how many gateways the slack of retries is shared, 0 if this one
-// stands by and has no part of it.
-func (g *Gateway) sharers() int {
-	if !g.activity.is() {
+// retrySharers returns the number of gateways that share the slack of the retry budget, or
+// 0 if this gateway is on standby and has no share of it.
+func (g *Gateway) retrySharers() int {
+	if !g.activity.isActive() {
 		return 0
 	}
 	return g.node.Members()
--- a/entry/gateway/gateway_test.go
+++ b/entry/gateway/gateway_test.go
@@ -27,7 +27,7 @@
 	"baywall.example/entry/catalog"
 )
 
-// at is a position in a store without eras.
+// at returns a position in a store that has no terms.
 func at(revision uint64) source.Position { return source.Position{Revision: revision} }
 
 // fixedStore holds items that never change.
@@ -42,21 +42,21 @@
 	return nil, after, ctx.Err()
 }
 
-// world is a gateway before backend servers that are functions.
-type world struct {
+// testGateway is a gateway in front of backend servers that are handler functions.
+type testGateway struct {
 	gateway *Gateway
 	url     string
 	runs    atomic.Int32
 }
 
-// testHost is a loopback address of this process alone: a free port of 127.0.0.1 may be
-// given to any connection on the machine before the test listens on it.
+// testHost is a loopback address that only this process uses: a free port of 127.0.0.1 may
+// be given to any connection on the machine before the test listens on it.
 var testHost = fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()>>16&0x7f, os.Getpid()>>8&0xff, 1+os.Getpid()&0x7f)
 
-// given are the addresses that freeAddress has returned.
-var given sync.Map
+// usedAddresses are the addresses that freeAddress has returned.
+var usedAddresses sync.Map
 
-// freeAddress returns an address on which nothing listens, another one each time.
+// freeAddress returns an address on which nothing listens, a different one each time.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for {
@@ -66,14 +66,14 @@
 		}
 		address := ln.Addr().String()
 		ln.Close()
-		if _, taken := given.LoadOrStore(address, true); !taken {
+		if _, taken := usedAddresses.LoadOrStore(address, true); !taken {
 			return address
 		}
 	}
 }
 
-// routes of the tests: /once/ runs at most once, /many/ and /stream/ may run
-// twice, /quick/ has a short timeout, /public/ needs no key.
+// routes returns the routes of the tests: /once/ runs at most once, /many/ and /stream/ may
+// run twice, /quick/ has a short timeout, /public/ needs no key.
 func routes() []catalog.Route {
 	route := func(name string, kind catalog.Kind, timeout time.Duration) catalog.Route {
 		return catalog.Route{
@@ -98,22 +98,22 @@
 	return source.Item{Key: key, Value: raw, Position: at(1)}
 }
 
-// start runs a gateway; backends answer with the number of runs so far, from 1.
-func start(t *testing.T, backends int, answer func(n int, w http.ResponseWriter, r *http.Request)) *world {
+// start runs a gateway; answer gets the number of runs so far, from 1.
+func start(t *testing.T, backends int, answer func(n int, w http.ResponseWriter, r *http.Request)) *testGateway {
 	t.Helper()
 	return startProbed(t, nil, backends, answer)
 }
 
-// startProbed is start with published services, whose backends may be probed.
-func startProbed(t *testing.T, services []catalog.Service, backends int, answer func(n int, w http.ResponseWriter, r *http.Request)) *world {
+// startProbed is like start, with published services whose backend servers may be probed.
+func startProbed(t *testing.T, services []catalog.Service, backends int, answer func(n int, w http.ResponseWriter, r *http.Request)) *testGateway {
 	t.Helper()
-	w := &world{}
+	w := &testGateway{}
 	store := fixedStore{item(t, "catalog", catalog.Content{
 		Version: 1, Routes: routes(), Services: services, Teams: []catalog.Team{{Name: "team", Keys: []string{"key"}}},
 	})}
 	for i := range backends {
 		server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-			_, _ = io.Copy(io.Discard, r.Body) // only then a closed connection shows
+			_, _ = io.Copy(io.Discard, r.Body) // a closed connection is only detected after the body was read
 			rw.Header().Set("T-Id", r.Header.Get("T-Id"))
 			answer(int(w.runs.Add(1)), rw, r)
 		}))
@@ -127,16 +127,16 @@
 	return w
 }
 
-func (w *world) run(t *testing.T, store source.Store) {
+func (w *testGateway) run(t *testing.T, store source.Store) {
 	t.Helper()
-	w.begin(t, store, func(*Settings) {})
+	w.launch(t, store, func(*Settings) {})
 	for until := time.Now().Add(2 * time.Second); !w.gateway.Ready() && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// begin starts the gateway without waiting until it is ready.
-func (w *world) begin(t *testing.T, store source.Store, change func(*Settings)) {
+// launch starts the gateway without waiting until it is ready.
+func (w *testGateway) launch(t *testing.T, store source.Store, change func(*Settings)) {
 	t.Helper()
 	s := Settings{
 		VM: "vm", Zone: "z", Store: "127.0.0.1:1",
@@ -161,7 +161,7 @@
 	w.gateway, w.url = g, "http://"+s.Listen.Front
 }
 
-func (w *world) get(t *testing.T, ctx context.Context, path string, change func(h http.Header)) (*http.Response, string, error) {
+func (w *testGateway) get(t *testing.T, ctx context.Context, path string, change func(h http.Header)) (*http.Response, string, error) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, w.url+path, strings.NewReader("body"))
 	if err != nil {
@@ -185,7 +185,7 @@
 
 func ok(_ int, w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }
 
-func reset(w http.ResponseWriter) {
+func resetConnection(w http.ResponseWriter) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
 		_ = conn.(*net.TCPConn).SetLinger(0)
@@ -196,12 +196,12 @@
 func TestOutcomes(t *testing.T) {
 	resetFirst := func(n int, w http.ResponseWriter, r *http.Request) {
 		if n == 1 {
-			reset(w)
+			resetConnection(w)
 			return
 		}
 		ok(n, w, r)
 	}
-	resetAll := func(_ int, w http.ResponseWriter, _ *http.Request) { reset(w) }
+	resetAll := func(_ int, w http.ResponseWriter, _ *http.Request) { resetConnection(w) }
 	rejectAll := func(_ int, w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("T-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -293,14 +293,14 @@
 	}
 }
 
-func TestACutStreamGoesOnElsewhere(t *testing.T) {
+func TestBrokenStreamResumesOnAnotherServer(t *testing.T) {
 	is := is.New(t)
 	w := start(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n == 1 {
 			events(rw, 1, 3)
 			fmt.Fprint(rw, "id: 4\nda")
 			_ = http.NewResponseController(rw).Flush()
-			reset(rw)
+			resetConnection(rw)
 			return
 		}
 		if r.Header.Get("Last-Event-Id") != "3" {
@@ -315,14 +315,14 @@
 }
 
 // slowAfterTwo serves the first run of a stream on a rank that becomes slow after two
-// events, and every later one by the given handler, which gets the last event's id.
-func slowAfterTwo(t *testing.T, later func(n, last int, rw http.ResponseWriter)) *world {
+// events, and every later run by the given handler, which gets the id of the last event.
+func slowAfterTwo(t *testing.T, later func(n, last int, rw http.ResponseWriter)) *testGateway {
 	t.Helper()
 	agent, err := cluster.NewNode(freeAddress(t), nil, 0, func() cluster.Self { return cluster.Self{} }, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var w *world
+	var w *testGateway
 	w = start(t, 3, func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n > 1 {
 			last, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
@@ -337,15 +337,16 @@
 		agent.TellPace([]string{w.gateway.settings.Listen.Peers}, slow)
 		time.Sleep(100 * time.Millisecond)
 		events(rw, 3, 3)
-		<-r.Context().Done() // the gateway has left
+		<-r.Context().Done() // the gateway has moved the stream away
 	})
 	return w
 }
 
 const fiveEvents = "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\nid: 3\ndata: e3\n\nid: 4\ndata: e4\n\nid: 5\ndata: e5\n\n"
 
-// All ranks of a group wait for the slow one as long as it has anything to do.
-func TestAStreamOfASlowRankGoesOnElsewhere(t *testing.T) {
+// A stream is moved off a slow rank, as all ranks of a group wait for the slow one as long
+// as it has any work.
+func TestStreamMovesOffSlowRank(t *testing.T) {
 	is := is.New(t)
 	w := slowAfterTwo(t, func(_, last int, rw http.ResponseWriter) { events(rw, last+1, 5) })
 	_, body, err := w.get(t, t.Context(), "/stream/x", nil)
@@ -354,19 +355,19 @@
 	is.Equal(w.runs.Load(), int32(2))
 }
 
-func TestAStreamThatCannotGoOnIsAborted(t *testing.T) {
+func TestStreamThatCannotResumeIsAborted(t *testing.T) {
 	is := is.New(t)
 	w := start(t, 3, func(n int, rw http.ResponseWriter, _ *http.Request) {
 		events(rw, n, n)
-		reset(rw)
+		resetConnection(rw)
 	})
 	_, body, err := w.get(t, t.Context(), "/stream/x", nil)
-	is.True(errors.Is(err, io.ErrUnexpectedEOF)) // not a clean end
+	is.True(errors.Is(err, io.ErrUnexpectedEOF)) // the answer must not look complete
 	is.Equal(strings.Count(body, "data: e"), 2)
-	is.Equal(w.runs.Load(), int32(2)) // its route's most
+	is.Equal(w.runs.Load(), int32(2)) // the most that its route allows
 }
 
-func TestARoutesTimeoutIsAnswered(t *testing.T) {
+func TestRouteTimeoutReturnsGatewayTimeout(t *testing.T) {
 	is := is.New(t)
 	w := start(t, 1, func(_ int, _ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	began := time.Now()
@@ -376,7 +377,7 @@
 	is.True(time.Since(began) < 600*time.Millisecond)
 }
 
-func TestABackendServerStopsWhenItsCallerLeaves(t *testing.T) {
+func TestCallerDisconnectCancelsBackendRequest(t *testing.T) {
 	is := is.New(t)
 	running, stopped := make(chan struct{}), make(chan struct{})
 	w := start(t, 1, func(_ int, _ http.ResponseWriter, r *http.Request) {
@@ -394,11 +395,11 @@
 	select {
 	case <-stopped:
 	case <-time.After(2 * time.Second):
-		t.Fatal("the run goes on")
+		t.Fatal("the backend server's handler was not canceled")
 	}
 }
 
-func TestAGracefulStopCutsNothing(t *testing.T) {
+func TestGracefulStopFinishesRequests(t *testing.T) {
 	is := is.New(t)
 	running := make(chan struct{})
 	w := start(t, 1, func(n int, rw http.ResponseWriter, r *http.Request) {
@@ -419,7 +420,7 @@
 	is.NoErr(<-stopped)
 }
 
-func TestBadDocumentsKeepTheLastGoodState(t *testing.T) {
+func TestInvalidConfigurationKeepsLastGood(t *testing.T) {
 	is := is.New(t)
 	w := start(t, 1, ok)
 	g := w.gateway
@@ -427,11 +428,11 @@
 		"catalog":     {Key: "catalog", Value: []byte("<html>"), Position: at(2)},
 		"backends/b9": {Key: "backends/b9", Value: []byte("nonsense"), Position: at(2)},
 	}
-	g.takeCatalog(source.Update{Items: items, Position: at(2)})
+	g.applyCatalog(source.Update{Items: items, Position: at(2)})
 	is.Equal(g.catalog.Version(), uint64(1))
 	older := item(t, "catalog", catalog.Content{Version: 1})
 	older.Revision = 3
-	g.takeCatalog(source.Update{Items: map[string]source.Item{"catalog": older}, Position: at(3)})
+	g.applyCatalog(source.Update{Items: map[string]source.Item{"catalog": older}, Position: at(3)})
 	is.True(g.catalog.Current().Match("h", "/many/x") != nil)
 }
 
--- a/entry/gateway/hold.go
+++ b/entry/gateway/hold.go
@@ -13,21 +13,21 @@
 	"baywall.example/entry/upstream"
 )
 
-// holdTimeout bounds one order to a rank, which answers in a few milliseconds.
+// holdTimeout bounds one order to a rank, which normally answers in a few milliseconds.
 const holdTimeout = 300 * time.Millisecond
 
-// errOrderRefused means that a rank did not take an order.
+// errOrderRefused means that a rank did not accept an order.
 var errOrderRefused = eris.New("gateway: order refused")
 
-// Order is an order to a backend server that is a rank.
+// Order is an order for a backend server that is a rank.
 type Order struct {
 	Target string // path with query
 	Header http.Header
 	Body   []byte
 }
 
-// holdStep gives an order that an agent asks for. A gateway's VM has no rank: when it
-// freezes, no rank is out of reach.
+// holdStep sends a hold order on behalf of an agent. No rank runs on a gateway's VM, so a
+// gateway's VM that freezes makes no rank unreachable.
 func (g *Gateway) holdStep(h cluster.Hold) {
 	server := g.registry.At(h.Engine)
 	if server == nil {
@@ -37,15 +37,16 @@
 	g.run.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), holdTimeout)
 		defer cancel()
-		err := g.order(ctx, server, g.adapter.HoldOrder(h.Epoch, h.Step))
+		err := g.sendOrder(ctx, server, g.adapter.HoldOrder(h.Epoch, h.Step))
 		g.log.Info().AnErr("error", err).Str("engine", h.Engine).Str("server", server.ID).
 			Uint64("epoch", h.Epoch).Uint64("step", h.Step).Msg("step held for an agent")
 	})
 }
 
-// order gives a rank an order. One that rests gets none, as its own agent gives it then. One
-// that leaves does, as its group stays in step until it is gone.
-func (g *Gateway) order(ctx context.Context, server *balance.Server, o Order) error {
+// sendOrder sends an order to a rank. A rank that requested a backoff gets none, as its own
+// agent sends the order then. A rank that leaves does get it, as its group stays in step
+// until the rank is gone.
+func (g *Gateway) sendOrder(ctx context.Context, server *balance.Server, o Order) error {
 	sent := clock.Now()
 	header := o.Header.Clone()
 	header.Set(g.headers.ExpectServer, server.ID)
@@ -62,7 +63,7 @@
 		return err
 	}
 	defer answer.Close()
-	g.hear(server, answer, sent, askedOrder)
+	g.receiveNotice(server, answer, sent, viaOrder)
 	if !g.adapter.OrderTaken(answer.Status) {
 		return eris.Wrapf(errOrderRefused, "status %d", answer.Status)
 	}
--- a/entry/gateway/hold_test.go
+++ b/entry/gateway/hold_test.go
@@ -15,9 +15,9 @@
 	"baywall.example/entry/balance"
 )
 
-// A gateway gives the hold that an agent asks for, but only to backend servers that are
-// listed: anybody may send a datagram. One that rests gets none.
-func TestAGatewayHoldsAStepForAnAgent(t *testing.T) {
+// A gateway forwards a hold requested by an agent, but only to backend servers that are
+// listed, as anybody may send a datagram. A backend server in backoff gets none.
+func TestGatewayHoldsStepForAgent(t *testing.T) {
 	is := is.New(t)
 	agent, err := cluster.NewNode(freeAddress(t), nil, 0, func() cluster.Self { return cluster.Self{} }, zerolog.Nop())
 	is.NoErr(err)
@@ -47,17 +47,17 @@
 		case got := <-held:
 			is.Equal(got, step)
 		case <-time.After(2 * time.Second):
-			t.Fatal("not held")
+			t.Fatal("the hold order did not arrive")
 		}
 	}
 	for until := time.Now().Add(2 * time.Second); !server.Rests(clock.Now()) && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
-	is.True(server.Rests(clock.Now())) // the answer to the order asked for it
+	is.True(server.Rests(clock.Now())) // requested by the answer to the order
 	agent.AskHold(to, cluster.Hold{Engine: server.Address, Epoch: 1, Step: 9})
 	select {
 	case got := <-held:
-		t.Fatalf("%s reached a server that rests", got)
+		t.Fatalf("%s reached a server in backoff", got)
 	case <-time.After(300 * time.Millisecond):
 	}
 }
--- a/entry/gateway/limit.go
+++ b/entry/gateway/limit.go
@@ -19,22 +19,23 @@
 	"baywall.example/entry/upstream"
 )
 
-// A backend server may name how many requests a second it takes from all gateways together.
-// Package ratelimit decides who may send to it, package admission who waits for that (turn.go). This
-// file tells them what is known and carries out what they say.
+// A backend server may name the number of requests per second that it accepts from all
+// gateways together. Package ratelimit decides which gateway may send to it, and package
+// admission which requests wait for a permit (turn.go). This file supplies them with the
+// observed state and carries out their decisions.
 
-// errPermit means that another gateway gave no usable answer to an ask for a permit.
-var errPermit = eris.New("gateway: no answer to an ask for a permit")
+// errPermit means that another gateway gave no usable reply to a permit request.
+var errPermit = eris.New("gateway: permit request not answered")
 
-// limits connects the limits that backend servers name to the process. It implements
-// ratelimit.Network and balance.Limits.
+// limits enforces the limits that backend servers name. It implements ratelimit.Network and
+// balance.Limits.
 type limits struct {
 	*ratelimit.Gate
 	table *ratelimit.Table
 	g     *Gateway
-	// coldRead is what entries were taken over of servers that are cold, by id: each counts
-	// from when it was read first.
-	coldRead map[string]source.Position
+	// coldSeen holds, by id, the position of the entry from which a cold server was last
+	// recorded. A server is cold for a time counted from when its entry was first read.
+	coldSeen map[string]source.Position
 }
 
 func newLimits(g *Gateway) *limits {
@@ -47,7 +48,8 @@
 // Limited implements balance.Limits.
 func (l *limits) Limited() int { return l.table.Limited() }
 
-// Grantor implements ratelimit.Network: the first active gateway in rendezvous order.
+// Grantor implements ratelimit.Network. The grantor is the first active gateway in
+// rendezvous order.
 func (l *limits) Grantor(server ratelimit.Key) (id vm.ID, own, known bool) {
 	peer, own := l.grantor(server)
 	switch {
@@ -63,7 +65,7 @@
 func (l *limits) grantor(server ratelimit.Key) (peer *cluster.Peer, own bool) {
 	weight := func(id string) uint64 { return rendezvous.Weight(rendezvous.Hash(id), uint64(server)) }
 	best := uint64(0)
-	if l.g.activity.is() && !l.g.leaving.Load() {
+	if l.g.activity.isActive() && !l.g.leaving.Load() {
 		own, best = true, weight(l.g.settings.VM)
 	}
 	for _, p := range l.g.node.Live() {
@@ -81,7 +83,7 @@
 func (l *limits) Ask(ctx context.Context, grantor vm.ID, s ratelimit.Statement) (ratelimit.Grant, error) {
 	peer, _ := l.grantor(s.Server)
 	if peer == nil || peer.VM != grantor {
-		return ratelimit.Grant{}, eris.Wrapf(errPermit, "%s does not grant any more", grantor)
+		return ratelimit.Grant{}, eris.Wrapf(errPermit, "%s no longer grants permits", grantor)
 	}
 	reply, err := l.g.peering.call(ctx, *peer, &wire.Call{Body: &wire.Call_Permit{Permit: s.AskToWire(clock.Now())}})
 	if err != nil {
@@ -91,40 +93,41 @@
 	return ratelimit.GrantFromWire(reply.GetPermit()), nil
 }
 
-// serve answers another gateway's ask for a permit.
-func (l *limits) serve(ask *wire.PermitAsk) *wire.PermitReply {
-	s, ok := ratelimit.StatementFromWire(ask.GetLimit(), clock.Now())
+// grantPermit answers a permit request of another gateway.
+func (l *limits) grantPermit(req *wire.PermitAsk) *wire.PermitReply {
+	s, ok := ratelimit.StatementFromWire(req.GetLimit(), clock.Now())
 	if !ok {
-		l.g.log.Warn().Uint64("server_incarnation", ask.GetLimit().GetServer()).Msg("ask for a permit not understood")
+		l.g.log.Warn().Uint64("server_incarnation", req.GetLimit().GetServer()).Msg("permit request could not be decoded")
 		return nil
 	}
 	return l.Grant(s).ToWire()
 }
 
-// hear takes what other gateways know.
-func (l *limits) hear(from vm.ID, told []*wire.ServerLimit) {
+// receiveReports takes in the limits that another gateway reports.
+func (l *limits) receiveReports(from vm.ID, reported []*wire.ServerLimit) {
 	now := clock.Now()
-	for _, server := range l.table.Hear(from, told, now) {
+	for _, server := range l.table.Hear(from, reported, now) {
 		l.g.registry.LimitEnded(server, now)
 	}
 }
 
-// answered takes what an answer of a server says of its limits, to a request that was sent at a
-// time. That it names none counts only where it is certainly the answer of this server.
-func (l *limits) answered(server *balance.Server, answer *upstream.Answer, said notice.Notice, sent, now time.Time) {
-	l.cold(server.Info, said.Cold, now)
+// recordAnswer records what a server's answer says about its limits. The request was sent
+// at the given time. An answer that names no limit lifts the limit only if it is certain
+// that this server gave it.
+func (l *limits) recordAnswer(server *balance.Server, answer *upstream.Answer, reported notice.Notice, sent, now time.Time) {
+	l.imposeCold(server.Info, reported.Cold, now)
 	own := answer.Header.Get(l.g.headers.RequestID) != "" && answer.Header.Get(l.g.headers.NotRun) == "" &&
 		answer.Status < http.StatusInternalServerError
-	if answer.Status == http.StatusMisdirectedRequest || said.Limit.Kind == ratelimit.SaidNone && !own {
+	if answer.Status == http.StatusMisdirectedRequest || reported.Limit.Kind == ratelimit.SaidNone && !own {
 		return
 	}
-	if l.table.Heard(server.Limit(), said.Limit, sent, now) {
+	if l.table.Heard(server.Limit(), reported.Limit, sent, now) {
 		l.g.registry.LimitEnded(server.Limit(), now)
 	}
 }
 
-// expire forgets what counts no more.
-func (l *limits) expire(now time.Time) {
+// maintain removes the limits that no longer apply.
+func (l *limits) maintain(now time.Time) {
 	for _, server := range l.table.Lift(now) {
 		l.g.registry.LimitEnded(server, now)
 	}
@@ -132,7 +135,7 @@
 	l.Gate.Expire(now)
 }
 
-// limitOf returns the limit of a server, for the log of a request to it.
+// limitOf returns the limit of a server, to be logged with a request to it.
 func (l *limits) limitOf(server *balance.Server) *ratelimit.Known {
 	for _, key := range server.Limits() {
 		if limit, ok := l.table.Get(key); ok {
--- a/entry/gateway/limit_test.go
+++ b/entry/gateway/limit_test.go
@@ -12,9 +12,9 @@
 	"baywall.example/entry/upstream"
 )
 
-// That an answer names no limit ends one only where it certainly is the server's own answer to
-// a request that ran.
-func TestWhichAnswersEndALimit(t *testing.T) {
+// An answer that names no limit lifts a limit only if it certainly is the server's own
+// answer to a request that ran.
+func TestAnswersThatEndALimit(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
@@ -24,11 +24,11 @@
 		{"answer", 200, http.Header{"T-Id": {"a"}}, true},
 		{"the caller's error", 400, http.Header{"T-Id": {"a"}}, true},
 		{"no echo of the request's id", 200, http.Header{}, false},
-		{"failure", 500, http.Header{"T-Id": {"a"}}, false},
-		{"turned away", 503, http.Header{"T-Id": {"a"}, "T-Not-Run": {"1"}}, false},
+		{"server error", 500, http.Header{"T-Id": {"a"}}, false},
+		{"rejected", 503, http.Header{"T-Id": {"a"}, "T-Not-Run": {"1"}}, false},
 		{"too many requests", 429, http.Header{"T-Id": {"a"}, "T-Not-Run": {"1"}}, false},
-		{"another server", 421, http.Header{"T-Id": {"a"}, "T-Limit": {"9"}}, false},
-		{"garbled", 200, http.Header{"T-Id": {"a"}, "T-Limit": {"many"}}, false},
+		{"replaced server", 421, http.Header{"T-Id": {"a"}, "T-Limit": {"9"}}, false},
+		{"unreadable limit", 200, http.Header{"T-Id": {"a"}, "T-Limit": {"many"}}, false},
 	}
 	w := start(t, 1, ok)
 	choice, found := w.gateway.registry.Pick(balance.Demand{Service: "s"}, clock.Now())
@@ -38,16 +38,17 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w.gateway.hear(choice.Server, &upstream.Answer{Status: 503, Header: http.Header{"T-Limit": {"2"}}}, clock.Now(), askedRequest)
-			is.Equal(limits.limitOf(choice.Server).Limit, 2.0) // also in an answer that turns a request away
-			w.gateway.hear(choice.Server, &upstream.Answer{Status: c.status, Header: c.header}, clock.Now(), askedRequest)
+			w.gateway.receiveNotice(choice.Server, &upstream.Answer{Status: 503, Header: http.Header{"T-Limit": {"2"}}}, clock.Now(), viaRequest)
+			is.Equal(limits.limitOf(choice.Server).Limit, 2.0) // a limit also counts in an answer that rejects a request
+			w.gateway.receiveNotice(choice.Server, &upstream.Answer{Status: c.status, Header: c.header}, clock.Now(), viaRequest)
 			is.Equal(limits.limitOf(choice.Server) == nil, c.ends)
 		})
 	}
 }
 
-// A limit holds from the first answer that names it, for the gateway that heard it at least.
-func TestAGatewayAloneKeepsALimit(t *testing.T) {
+// A limit applies from the first answer that names it, at least at the gateway that
+// received it.
+func TestSingleGatewayEnforcesLimit(t *testing.T) {
 	is := is.New(t)
 	w := start(t, 1, func(n int, rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set("T-Limit", "2")
--- a/entry/gateway/metrics.go
+++ b/entry/gateway/metrics.go
@@ -10,10 +10,11 @@
 	"baywall.example/core/ratelimit"
 )
 
-// gauges are read when the metrics are fetched.
+// gauges are the functions that are called to read gauge values when the metrics are
+// fetched.
 type gauges struct {
 	catalogVersion   func() float64
-	storeEra         func() float64
+	storeTerm        func() float64
 	backendsRevision func() float64
 	peers            func() float64
 	suspects         func() float64
@@ -30,8 +31,8 @@
 	aborted        *metrics.Counter
 	entriesRefused *metrics.Counter
 	noticesRefused *metrics.Counter
-	leavingHeard   *metrics.Counter
-	left           *metrics.Counter
+	leavingNotices *metrics.Counter
+	callerLeft     *metrics.Counter
 	resumed        *metrics.Counter
 	retries        *metrics.Counter
 }
@@ -39,7 +40,7 @@
 func newInstruments(g gauges) *instruments {
 	set := metrics.NewSet()
 	set.NewGauge("baywall_catalog_version", g.catalogVersion)
-	set.NewGauge("baywall_store_era", g.storeEra)
+	set.NewGauge("baywall_store_era", g.storeTerm)
 	set.NewGauge("baywall_backends_revision", g.backendsRevision)
 	set.NewGauge("baywall_peers", g.peers)
 	set.NewGauge("baywall_suspect_requests", g.suspects)
@@ -55,8 +56,8 @@
 		aborted:        set.NewCounter("baywall_answers_aborted_total"),
 		entriesRefused: set.NewCounter("baywall_entries_refused_total"),
 		noticesRefused: set.NewCounter("baywall_notices_refused_total"),
-		leavingHeard:   set.NewCounter("baywall_leaving_answers_total"),
-		left:           set.NewCounter("baywall_callers_left_total"),
+		leavingNotices: set.NewCounter("baywall_leaving_answers_total"),
+		callerLeft:     set.NewCounter("baywall_callers_left_total"),
 		resumed:        set.NewCounter("baywall_streams_resumed_total"),
 		retries:        set.NewCounter("baywall_retries_total"),
 	}
@@ -70,22 +71,22 @@
 	i.set.GetOrCreateCounter(fmt.Sprintf("baywall_attempts_total{service=%q,result=%q}", service, result)).Inc()
 }
 
-// restAsked counts that a backend server asked for rest.
-func (i *instruments) restAsked(server string) {
+// backoffRequested counts a backend server's request for a backoff.
+func (i *instruments) backoffRequested(server string) {
 	i.set.GetOrCreateCounter(fmt.Sprintf("baywall_rests_total{server=%q}", server)).Inc()
 }
 
-// stood counts that a service was found to serve nobody.
-func (i *instruments) stood(service string) {
+// outageStarted counts an outage of a service.
+func (i *instruments) outageStarted(service string) {
 	i.set.GetOrCreateCounter(fmt.Sprintf("baywall_service_stood_total{service=%q}", service)).Inc()
 }
 
-// answered notes the time to a whole answer, for streams to the first event.
+// answered records the time to the complete answer, or for a stream to its first event.
 func (i *instruments) answered(route string, d time.Duration) {
 	i.set.GetOrCreateHistogram(fmt.Sprintf("baywall_answer_seconds{route=%q}", route)).Update(d.Seconds())
 }
 
-// gap notes the longest pause between two events of a stream.
+// gap records the longest pause between two events of a stream.
 func (i *instruments) gap(route string, d time.Duration) {
 	i.set.GetOrCreateHistogram(fmt.Sprintf("baywall_stream_longest_gap_seconds{route=%q}", route)).Update(d.Seconds())
 }
--- a/entry/gateway/notice.go
+++ b/entry/gateway/notice.go
@@ -9,33 +9,33 @@
 	"baywall.example/entry/upstream"
 )
 
-// hear reads what an answer says of its backend server, whatever was asked, and notes it. The
-// answer is to a request that was sent at a time.
-func (g *Gateway) hear(server *balance.Server, answer *upstream.Answer, sent time.Time, asked string) notice.Notice {
+// receiveNotice extracts and records what a backend server reports about itself in an
+// answer to a request, probe or order that was sent at the given time.
+func (g *Gateway) receiveNotice(server *balance.Server, answer *upstream.Answer, sent time.Time, via string) notice.Notice {
 	now := clock.Now()
-	said, err := g.adapter.ReadNotice(answer.Status, answer.Header, now)
+	reported, err := g.adapter.ReadNotice(answer.Status, answer.Header, now)
 	if err != nil {
 		g.inst.noticesRefused.Inc()
-		g.log.Warn().Err(err).Str("server", server.ID).Str("asked", asked).Msg("notice of a backend server not understood")
+		g.log.Warn().Err(err).Str("server", server.ID).Str("asked", via).Msg("notice of a backend server not understood")
 	}
-	g.limits.answered(server, answer, said, sent, now)
-	if said.Leaving {
-		g.inst.leavingHeard.Inc()
+	g.limits.recordAnswer(server, answer, reported, sent, now)
+	if reported.Leaving {
+		g.inst.leavingNotices.Inc()
 		g.registry.SaysLeaving(server)
 	}
-	if said.Rest > 0 {
-		until, before := g.registry.Rested(server, said.Rest, now)
-		g.inst.restAsked(server.ID)
+	if reported.Rest > 0 {
+		until, before := g.registry.Rested(server, reported.Rest, now)
+		g.inst.backoffRequested(server.ID)
 		g.log.Info().Str("server", server.ID).Uint64("server_incarnation", server.Incarnation()).Str("service", server.Service).
-			Str("asked", asked).Int("status", answer.Status).Dur("rest", said.Rest).Dur("left_out", until.Sub(now)).Bool("rested", before).
-			Msg("backend server asks for rest")
+			Str("asked", via).Int("status", answer.Status).Dur("rest", reported.Rest).Dur("left_out", until.Sub(now)).Bool("rested", before).
+			Msg("backend server requested a backoff")
 	}
-	return said
+	return reported
 }
 
-// What was asked for when a backend server said something of itself.
+// Kinds of exchange in which a backend server reported something about itself.
 const (
-	askedRequest = "request"
-	askedProbe   = "probe"
-	askedOrder   = "order"
+	viaRequest = "request"
+	viaProbe   = "probe"
+	viaOrder   = "order"
 )
--- a/entry/gateway/notice_test.go
+++ b/entry/gateway/notice_test.go
@@ -15,9 +15,10 @@
 	"baywall.example/entry/upstream"
 )
 
-// What a backend server says of itself counts in any answer that is its own, whatever was asked.
-func TestInWhichAnswersANoticeCounts(t *testing.T) {
-	rest := func(h http.Header) { h.Set("T-Rest", "60") }
+// A backend server's report about itself counts in any of its own answers, to requests,
+// probes and orders alike.
+func TestNoticesInAnswers(t *testing.T) {
+	backoff := func(h http.Header) { h.Set("T-Rest", "60") }
 	leave := func(h http.Header) { h.Set("T-Leaving", "1") }
 	cases := []struct {
 		name   string
@@ -26,16 +27,16 @@
 		says   func(http.Header)
 		found  balance.Availability
 	}{
-		{"rest, turned away", 503, true, rest, balance.Resting},
-		{"rest, ran", 503, false, rest, balance.Resting},
+		{"backoff, rejected", 503, true, backoff, balance.Resting},
+		{"backoff, ran", 503, false, backoff, balance.Resting},
 		{"leaving, answered", 200, false, leave, balance.Leaving},
-		{"leaving, turned away", 503, true, leave, balance.Leaving},
+		{"leaving, rejected", 503, true, leave, balance.Leaving},
 		{"leaving, failed", 500, false, leave, balance.Leaving},
 		{"nothing", 200, false, func(http.Header) {}, balance.Available},
 	}
 	for _, c := range cases {
-		for _, asked := range []string{askedRequest, askedProbe, askedOrder} {
-			t.Run(c.name+", "+asked, func(t *testing.T) {
+		for _, via := range []string{viaRequest, viaProbe, viaOrder} {
+			t.Run(c.name+", "+via, func(t *testing.T) {
 				is := is.New(t)
 				w := startProbed(t, []catalog.Service{{Name: "s"}}, 1, func(_ int, rw http.ResponseWriter, _ *http.Request) {
 					c.says(rw.Header())
@@ -46,15 +47,15 @@
 				})
 				choice, _ := w.gateway.registry.Pick(balance.Demand{Service: "s"}, clock.Now())
 				choice.Release()
-				switch asked {
-				case askedRequest:
+				switch via {
+				case viaRequest:
 					_, _, err := w.get(t, t.Context(), "/once/x", nil)
 					is.NoErr(err)
-				case askedProbe:
-					_, err := w.gateway.takesRequests(t.Context(), choice.Server)
+				case viaProbe:
+					_, err := w.gateway.probeServer(t.Context(), choice.Server)
 					is.NoErr(err)
 				default:
-					_ = w.gateway.order(t.Context(), choice.Server, Order{Target: "/x", Header: http.Header{}}) // refused or not
+					_ = w.gateway.sendOrder(t.Context(), choice.Server, Order{Target: "/x", Header: http.Header{}}) // refused or not, the notice counts
 				}
 				choice, found := w.gateway.registry.Pick(balance.Demand{Service: "s"}, clock.Now())
 				is.Equal(found, c.found)
@@ -66,15 +67,15 @@
 	}
 }
 
-// A request that was meant for a server when it asked for rest, or said that it leaves, goes
-// elsewhere: the gate is asked when the connection stands.
-func TestTheGateIsAskedAtTheMomentOfSending(t *testing.T) {
+// A request whose server requested a backoff or started to leave after it was picked goes
+// elsewhere: the check runs once the connection is established.
+func TestSendCheckRunsAtSendTime(t *testing.T) {
 	cases := []struct {
 		name string
 		note func(*Gateway, *balance.Server)
 		want error
 	}{
-		{"rest", func(g *Gateway, s *balance.Server) { g.registry.Rested(s, time.Minute, clock.Now()) }, balance.ErrResting},
+		{"backoff", func(g *Gateway, s *balance.Server) { g.registry.Rested(s, time.Minute, clock.Now()) }, balance.ErrResting},
 		{"leaving", func(g *Gateway, s *balance.Server) { g.registry.SaysLeaving(s) }, errOutdated},
 		{"nothing", func(*Gateway, *balance.Server) {}, nil},
 	}
@@ -87,7 +88,7 @@
 			c.note(w.gateway, choice.Server)
 			answer, err := choice.Server.Pool.Do(t.Context(), &upstream.Request{
 				Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{},
-				Check: func() error { return w.gateway.pass(t.Context(), choice.Server, w.gateway.maySend) },
+				Check: func() error { return w.gateway.admitSend(t.Context(), choice.Server, w.gateway.maySend) },
 			})
 			is.Equal(err, c.want)
 			is.Equal(w.runs.Load() > 0, c.want == nil)
@@ -98,8 +99,8 @@
 	}
 }
 
-// A stream that is under way at a server which asks for rest and leaves goes on to its end.
-func TestAStreamGoesOnAtAServerThatLeavesAndRests(t *testing.T) {
+// A stream in progress at a server that requests a backoff and leaves runs to its end.
+func TestStreamContinuesOnLeavingServerInBackoff(t *testing.T) {
 	is := is.New(t)
 	began, goOn := make(chan struct{}), make(chan struct{})
 	w := start(t, 1, func(_ int, rw http.ResponseWriter, r *http.Request) {
--- a/entry/gateway/patience_test.go
+++ b/entry/gateway/patience_test.go
@@ -15,9 +15,9 @@
 	"baywall.example/entry/catalog"
 )
 
-// Callers allow what they like: how long one waits does not tell whether it comes for
-// the first time, and does not decide how urgent its request is.
-func TestTheTimeLimitOfACallerSaysNothingOfItsTries(t *testing.T) {
+// Callers choose their deadlines freely: a deadline neither tells whether a request is a
+// first attempt nor decides how urgent it is.
+func TestCallerDeadlineDoesNotChangeUrgency(t *testing.T) {
 	stream := &catalog.Route{Name: "r", Kind: catalog.KindStream, Objective: 400 * time.Millisecond, Timeout: 8 * time.Second, GapTarget: 120 * time.Millisecond}
 	plain := &catalog.Route{Name: "p", Objective: 300 * time.Millisecond, Timeout: 4 * time.Second}
 	for _, route := range []*catalog.Route{stream, plain} {
@@ -25,18 +25,18 @@
 			q := request{route: route, state: &serviceState{}, began: time.Unix(0, 0)}
 			limit := time.Duration(part * float64(route.Timeout))
 			q.deadline = q.began.Add(limit)
-			if got := q.wants(q.began).Urgency(); got != admission.Punctual {
-				t.Fatalf("%s: a caller that waits %s is %s", route.Name, limit, got)
+			if got := q.admissionRequest(q.began).Urgency(); got != admission.Punctual {
+				t.Fatalf("%s: a request with a deadline of %s has urgency %s", route.Name, limit, got)
 			}
 			if q.demand(q.began).Late {
-				t.Fatalf("%s: a caller that waits %s gets the places of late ones", route.Name, limit)
+				t.Fatalf("%s: a request with a deadline of %s is treated as late", route.Name, limit)
 			}
 		}
 	}
 }
 
-// Without a server a request is refused at once, as its caller can come back; one that
-// goes on with a stream waits for a server to be listed until its caller leaves.
+// Without a server a request is refused at once, as its caller can retry. One that resumes
+// a stream waits for a server to be listed until its caller gives up.
 func TestOnlyInterruptedRequestsWaitForAServer(t *testing.T) {
 	is := is.New(t)
 	w := start(t, 0, ok)
@@ -50,16 +50,16 @@
 	is.NoErr(err)
 	is.Equal(resp.StatusCode, 503)
 	is.True(time.Since(began) > time.Second)
-	is.True(time.Since(began) < 2*time.Second) // its caller leaves then, not at its deadline
+	is.True(time.Since(began) < 2*time.Second) // its caller gives up then, not at its deadline
 }
 
-// lateStore answers its first list after a while.
-type lateStore struct {
+// delayedStore answers every List call after a delay.
+type delayedStore struct {
 	fixedStore
 	after time.Duration
 }
 
-func (s lateStore) List(ctx context.Context, prefix string, f source.Freshness) ([]source.Item, source.Position, error) {
+func (s delayedStore) List(ctx context.Context, prefix string, f source.Freshness) ([]source.Item, source.Position, error) {
 	select {
 	case <-time.After(s.after):
 		return s.fixedStore.List(ctx, prefix, f)
@@ -68,20 +68,20 @@
 	}
 }
 
-// A request that meets a process which has just started waits a moment for its
+// A request that arrives at a process which has just started waits briefly for the
 // configuration.
-func TestAStartingProcessKeepsRequestsForAMoment(t *testing.T) {
+func TestStartingGatewayHoldsRequestsBriefly(t *testing.T) {
 	is := is.New(t)
 	items := fixedStore{item(t, "catalog", catalog.Content{Version: 1, Routes: routes(), Teams: []catalog.Team{{Name: "team", Keys: []string{"key"}}}})}
-	w := &world{}
-	w.run(t, lateStore{fixedStore: items, after: 20 * time.Millisecond})
+	w := &testGateway{}
+	w.run(t, delayedStore{fixedStore: items, after: 20 * time.Millisecond})
 	resp, _, err := w.get(t, t.Context(), "/none/x", nil)
 	is.NoErr(err)
 	is.Equal(resp.StatusCode, 404)
 }
 
-// A caller that leaves while its request waits is not answered.
-func TestAWaitingRequestEndsWithItsCaller(t *testing.T) {
+// A caller that disconnects while its request waits is not answered.
+func TestWaitingRequestEndsWhenCallerLeaves(t *testing.T) {
 	is := is.New(t)
 	w := start(t, 0, ok)
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
@@ -92,21 +92,21 @@
 		time.Sleep(time.Millisecond)
 	}
 	is.Equal(w.gateway.inFlight.Load(), int64(0))
-	is.Equal(w.gateway.inst.left.Get(), uint64(1))
+	is.Equal(w.gateway.inst.callerLeft.Get(), uint64(1))
 }
 
-// A process that knows no configuration after its wait has no store: callers with
-// one try left must not come back into the outage.
-func TestCallersDoNotComeBackIntoAnOutage(t *testing.T) {
+// A process that still has no configuration after its wait cannot reach the store: callers
+// with one attempt left must not retry during the outage.
+func TestRetryAfterOutlastsOutage(t *testing.T) {
 	is := is.New(t)
 	q := request{}
 	after := q.retryAfter(contract.Refusal{Reason: contract.ReasonStarting})
 	is.True(after >= outageRetryAfter && after <= outageRetryAfter*6/5)
 }
 
-// Only a stream that has not begun, of a caller that can still be served on time,
-// waits for shorter passes.
-func TestWhoWaitsForShorterPasses(t *testing.T) {
+// Only a stream that has not started, of a caller that can still be served on time, waits
+// for shorter passes.
+func TestStreamHoldThreshold(t *testing.T) {
 	stream := &catalog.Route{Name: "r", Kind: catalog.KindStream, Objective: 500 * time.Millisecond, GapTarget: 120 * time.Millisecond}
 	began := time.Unix(0, 0)
 	cases := []struct {
@@ -123,13 +123,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			c.q.began = began
-			is.New(t).Equal(c.q.holdAt(began.Add(c.at)), c.want)
+			is.New(t).Equal(c.q.holdThreshold(began.Add(c.at)), c.want)
 		})
 	}
 }
 
-// Whoever can still be on time does not queue behind those that cannot.
-func TestHowLongARequestMayQueueAtAServer(t *testing.T) {
+// A request that can still be on time does not queue behind requests that cannot.
+func TestMaxQueueWait(t *testing.T) {
 	stream := &catalog.Route{Kind: catalog.KindStream, Objective: 500 * time.Millisecond}
 	began := time.Unix(0, 0)
 	cases := []struct {
@@ -140,8 +140,8 @@
 	}{
 		{"just arrived", request{route: stream}, 0, 350 * time.Millisecond},
 		{"held back before", request{route: stream}, 200 * time.Millisecond, 150 * time.Millisecond},
-		{"too late", request{route: stream}, 400 * time.Millisecond, freeSlot},
-		{"interrupted stream", request{route: stream, interrupted: true}, 0, freeSlot},
+		{"too late", request{route: stream}, 400 * time.Millisecond, freeSlotWait},
+		{"interrupted stream", request{route: stream, interrupted: true}, 0, freeSlotWait},
 		{"no objective", request{route: &catalog.Route{Kind: catalog.KindStream}}, time.Second, 0},
 		{"no stream", request{route: &catalog.Route{Objective: 200 * time.Millisecond}}, 0, 100 * time.Millisecond},
 	}
@@ -149,12 +149,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			c.q.began, c.q.deadline = began, began.Add(8*time.Second)
 			c.q.state = &serviceState{first: 150 * time.Millisecond}
-			is.New(t).Equal(c.q.mostWait(c.q.wants(began.Add(c.at))), c.want)
+			is.New(t).Equal(c.q.maxQueueWait(c.q.admissionRequest(began.Add(c.at))), c.want)
 		})
 	}
 }
 
-func TestPunctualityOfAnAnswer(t *testing.T) {
+func TestTimeliness(t *testing.T) {
 	stream := &catalog.Route{Kind: catalog.KindStream, Objective: 500 * time.Millisecond, GapTarget: 120 * time.Millisecond}
 	cases := []struct {
 		name       string
@@ -168,7 +168,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			q := request{route: stream, firstAnswer: c.first, longestGap: c.gap}
-			is.New(t).Equal(q.punctuality(), c.want)
+			is.New(t).Equal(q.timeliness(), c.want)
 		})
 	}
 }
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -19,79 +19,82 @@
 	"baywall.example/entry/follow"
 )
 
-// A gateway that does not reach the store, or that the store turns away, takes
-// configuration and backend servers from another gateway that knows of a newer
-// change. Heartbeats tell who does.
+// A gateway that cannot reach the store, or is refused by it, takes the configuration and
+// the backend servers from another gateway that knows of a newer change. Heartbeats say
+// which gateways do.
 
-// linkIdle is how long an unused link to another gateway is kept.
+// linkIdle is how long an unused link to another gateway is kept open.
 const linkIdle = 10 * time.Second
 
-// peering exchanges states of the store with other gateways.
+// peering exchanges store state with other gateways.
 type peering struct {
 	gateway  *Gateway
 	local    *link.Local
 	pool     *link.Pool
 	mu       sync.Mutex
 	exchange *follow.Exchange // under mu
-	resting  atomic.Bool      // others follow the store for this one
+	passive  atomic.Bool      // other gateways follow the store on behalf of this one
 	election *follow.Election
-	latest   atomic.Int32 // source.Duty as decided last
-	packed   packer
-	// asked counts the gateways asked for suspects since askedSince, under mu.
-	asked      int
-	askedSince time.Time
+	lastRole atomic.Int32 // source.Duty of the latest decision
+	encoder  packer
+	// suspectPulls counts the gateways from which suspects were pulled since
+	// suspectPullsSince, under mu.
+	suspectPulls      int
+	suspectPullsSince time.Time
 }
 
 func newPeering(g *Gateway) *peering {
 	host, _, _ := net.SplitHostPort(g.settings.Listen.Peers) // validated
 	p := &peering{
-		gateway: g, exchange: follow.NewExchange(g.settings.Zone, g.settings.Follow.soonest()),
-		election: follow.NewElection(g.settings.VM, g.settings.Zone, g.settings.Follow.soonest(), len(g.settings.Seeds) > 0, g.settings.Bootstrap, clock.Now()),
+		gateway: g, exchange: follow.NewExchange(g.settings.Zone, g.settings.Follow.minPropagation()),
+		election: follow.NewElection(g.settings.VM, g.settings.Zone, g.settings.Follow.minPropagation(), len(g.settings.Seeds) > 0, g.settings.Bootstrap, clock.Now()),
 	}
 	p.local = &link.Local{
 		VM: vm.ID(g.settings.VM), Incarnation: g.incarnation, Role: vm.RoleEntry, Zone: zone.ID(g.settings.Zone), BindIP: host,
-		Clock: &timeline.Clock{}, Log: g.log, Revisions: func() (config, vms uint64) { return g.catalog.Version(), g.knows().changed.Revision },
+		Clock: &timeline.Clock{}, Log: g.log, Revisions: func() (config, vms uint64) { return g.catalog.Version(), g.applied().changed.Revision },
 	}
 	p.pool = link.NewPool(p.local, nil, nil, nil)
 	return p
 }
 
-// standing returns what this gateway knows.
-func (g *Gateway) standing() follow.Standing {
+// followState returns what this gateway knows of the store's state.
+func (g *Gateway) followState() follow.Standing {
 	return follow.Standing{
-		Changed: g.knows().changed, Catalog: g.catalog.Version(), Retained: g.follower.Retained(), Listed: g.listed.Load(),
-		Resting: g.peering.resting.Load(), Active: g.activity.is(), Failing: g.follower.Failing(),
+		Changed: g.applied().changed, Catalog: g.catalog.Version(), Retained: g.follower.Retained(), Listed: g.listed.Load(),
+		Resting: g.peering.passive.Load(), Active: g.activity.isActive(), Failing: g.follower.Failing(),
 	}
 }
 
-// decideDuty returns the gateway's part in following the store.
-func (p *peering) decideDuty() source.Duty {
+// decideRole returns the gateway's role in following the store.
+func (p *peering) decideRole() source.Duty {
 	g := p.gateway
 	live := g.node.Live()
-	next := p.election.Decide(live, g.standing(), clock.Now())
-	p.resting.Store(next == source.DutyRest)
-	if before := source.Duty(p.latest.Swap(int32(next))); before != next {
+	next := p.election.Decide(live, g.followState(), clock.Now())
+	p.passive.Store(next == source.DutyRest)
+	if before := source.Duty(p.lastRole.Swap(int32(next))); before != next {
 		g.log.Info().Stringer("duty", next).Stringer("before", before).Int("gateways", len(live)+1).Msg("following of the store changed")
 	}
 	return next
 }
 
-// followers returns how many other gateways follow the store.
+// followers returns the number of other gateways that follow the store.
 func (g *Gateway) followers() int { return follow.Followers(g.settings.Zone, g.node.Live()) - 1 }
 
-// run looks often while others follow the store for this gateway.
+// run compares with other gateways at short intervals while they follow the store on behalf
+// of this one.
 func (p *peering) run(ctx context.Context) {
 	for wait.Sleep(ctx, follow.RestLook) {
-		if p.resting.Load() {
-			p.look(ctx)
+		if p.passive.Load() {
+			p.reconcile(ctx)
 		}
 	}
 }
 
-// look compares what others know with what this gateway knows, and acts on it.
-func (p *peering) look(ctx context.Context) {
+// reconcile compares what other gateways know with what this one knows, and acts on
+// differences.
+func (p *peering) reconcile(ctx context.Context) {
 	g := p.gateway
-	own, live := g.standing(), g.node.Live()
+	own, live := g.followState(), g.node.Live()
 	p.mu.Lock()
 	step := p.exchange.Look(own, live, clock.Now())
 	p.mu.Unlock()
@@ -103,7 +106,7 @@
 	}
 }
 
-// pull takes the state that another gateway knows.
+// pull fetches the state that another gateway knows and hands it to the follower.
 func (p *peering) pull(ctx context.Context, from cluster.Peer) {
 	state, err := p.fetch(ctx, from)
 	p.mu.Lock()
@@ -113,7 +116,7 @@
 	if err != nil {
 		log = p.gateway.log.Warn().Err(err)
 	}
-	own := p.gateway.knows()
+	own := p.gateway.applied()
 	log.Str("peer", string(from.VM)).Uint64("era", state.Era).Uint64("revision", state.Revision).
 		Uint64("known_era", own.changed.Era).Uint64("known", own.changed.Revision).
 		Uint64("version", from.CatalogVersion).Uint64("in_force", p.gateway.catalog.Version()).
@@ -127,7 +130,7 @@
 func (p *peering) fetch(ctx context.Context, from cluster.Peer) (source.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, follow.PullTimeout)
 	defer cancel()
-	at := p.gateway.knows().at
+	at := p.gateway.applied().at
 	pull := &wire.SourcePull{Era: at.Era, After: at.Revision, Removals: from.Retained != p.gateway.follower.Retained()}
 	reply, err := p.call(ctx, from, &wire.Call{Body: &wire.Call_Source{Source: pull}})
 	if err != nil {
@@ -136,7 +139,7 @@
 	return stateFromWire(reply.GetSource(), clock.Now())
 }
 
-// call asks another gateway.
+// call sends a call to another gateway and returns its reply.
 func (p *peering) call(ctx context.Context, to cluster.Peer, call *wire.Call) (*wire.Reply, error) {
 	conn, err := p.pool.Get(ctx, vm.VM{ID: to.VM, Link: to.Address, Role: vm.RoleEntry})
 	if err != nil {
@@ -144,28 +147,28 @@
 	}
 	reply, err := conn.Call(ctx, call)
 	if err != nil {
-		p.pool.Retain(func(id vm.ID) bool { return id != to.VM }) // the link may have gone silent
+		p.pool.Retain(func(id vm.ID) bool { return id != to.VM }) // the link may be dead
 	}
 	return reply, err
 }
 
-// ServeStream answers another gateway.
+// ServeStream answers a call of another gateway.
 func (p *peering) ServeStream(_ context.Context, from *link.Link, s *link.Stream, call *wire.Call) {
 	reply := &wire.Reply{}
 	switch {
 	case call.GetSource() != nil:
 		pull := call.GetSource()
 		state := p.gateway.follower.Since(source.Position{Era: pull.GetEra(), Revision: pull.GetAfter()}, pull.GetRemovals())
-		reply.Body = &wire.Reply_Source{Source: p.packed.reply(state, clock.Now())}
+		reply.Body = &wire.Reply_Source{Source: p.encoder.reply(state, clock.Now())}
 	case call.GetSuspects() != nil:
 		reply.Body = &wire.Reply_Suspects{Suspects: &wire.Suspects{Suspects: p.gateway.suspects.All(clock.Now())}}
 	case call.GetPermit() != nil:
-		reply.Body = &wire.Reply_Permit{Permit: p.gateway.limits.serve(call.GetPermit())}
+		reply.Body = &wire.Reply_Permit{Permit: p.gateway.limits.grantPermit(call.GetPermit())}
 	default:
 		p.gateway.log.Warn().Str("peer", string(from.Remote)).Msg("unexpected call")
 		return
 	}
 	if err := s.SendReply(reply); err != nil {
-		p.gateway.log.Info().Err(err).Str("peer", string(from.Remote)).Msg("answer to another gateway not sent")
+		p.gateway.log.Info().Err(err).Str("peer", string(from.Remote)).Msg("reply to another gateway could not be sent")
 	}
 }
--- a/entry/gateway/peers_test.go
+++ b/entry/gateway/peers_test.go
@@ -11,18 +11,18 @@
 	"baywall.example/entry/catalog"
 )
 
-// awayStore refuses every call, as a store does that turns a VM away.
-type awayStore struct{}
+// unavailableStore refuses every call, like a store that rejects a VM.
+type unavailableStore struct{}
 
-func (awayStore) List(context.Context, string, source.Freshness) ([]source.Item, source.Position, error) {
+func (unavailableStore) List(context.Context, string, source.Freshness) ([]source.Item, source.Position, error) {
 	return nil, source.Position{}, source.ErrUnavailable
 }
 
-func (awayStore) Watch(context.Context, string, source.Position, time.Duration) ([]source.Event, source.Position, error) {
+func (unavailableStore) Watch(context.Context, string, source.Position, time.Duration) ([]source.Event, source.Position, error) {
 	return nil, source.Position{}, source.ErrUnavailable
 }
 
-// silentStore answers nothing, as a store does that is cut off.
+// silentStore never answers, like a store behind a network partition.
 type silentStore struct{}
 
 func (silentStore) List(ctx context.Context, _ string, _ source.Freshness) ([]source.Item, source.Position, error) {
@@ -35,13 +35,13 @@
 	return nil, source.Position{}, source.ErrUnavailable
 }
 
-func TestAGatewayThatTheStoreTurnsAwayAsksAnother(t *testing.T) {
-	for name, store := range map[string]source.Store{"refused": awayStore{}, "silent": silentStore{}} {
+func TestGatewayWithoutStorePullsFromPeer(t *testing.T) {
+	for name, store := range map[string]source.Store{"refused": unavailableStore{}, "silent": silentStore{}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			first, second := &world{}, &world{}
+			first, second := &testGateway{}, &testGateway{}
 			first.run(t, fixedStore{item(t, "catalog", catalog.Content{Version: 7, Routes: routes()})})
-			second.begin(t, store, func(s *Settings) {
+			second.launch(t, store, func(s *Settings) {
 				s.VM = "vm2"
 				s.Seeds = []string{first.gateway.settings.Listen.Peers}
 			})
@@ -59,8 +59,8 @@
 	}
 }
 
-// publish puts a configuration in force at the gateway, as its store would.
-func (w *world) publish(t *testing.T, version uint64) {
+// publish puts a configuration into force at the gateway, as its store would.
+func (w *testGateway) publish(t *testing.T, version uint64) {
 	t.Helper()
 	published := item(t, "catalog", catalog.Content{Version: version, Routes: routes()})
 	published.Position = at(version)
--- a/entry/gateway/probe.go
+++ b/entry/gateway/probe.go
@@ -15,18 +15,17 @@
 )
 
 const (
-	// probeTick is how often servers to be probed are looked for.
-	probeTick = 40 * time.Millisecond
-	// probeTimeout bounds one probe: a server answers in a few milliseconds.
+	// probeInterval is the interval at which servers due for a probe are looked for.
+	probeInterval = 40 * time.Millisecond
+	// probeTimeout bounds one probe; a server normally answers in a few milliseconds.
 	probeTimeout = 300 * time.Millisecond
-	// maxProbeBody bounds the answer to a probe, in bytes.
+	// maxProbeBody is the largest part of the answer to a probe that is read, in bytes.
 	maxProbeBody = 64 << 10
 )
 
-// probe asks the servers of services that are on probation until the context
-// ends.
-func (g *Gateway) probe(ctx context.Context) {
-	ticker := time.NewTicker(probeTick)
+// runProbes probes servers that are on probation until the context ends.
+func (g *Gateway) runProbes(ctx context.Context) {
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -34,8 +33,8 @@
 			return
 		case <-ticker.C:
 			now := clock.Now()
-			if !g.activity.is() {
-				continue // it gets few requests, and each probe costs its server
+			if !g.activity.isActive() {
+				continue // a standby gateway gets few requests, and each probe is work for its server
 			}
 			for _, server := range g.registry.DueProbes(now) {
 				g.run.Go(func() { g.probeOne(ctx, server) })
@@ -44,10 +43,10 @@
 	}
 }
 
-// probeOne asks one server. One that is at a limit, or is to get nothing any more, is not
-// asked now.
+// probeOne probes one server. A server that is at a limit or in backoff, or must get
+// nothing any more, is not probed now.
 func (g *Gateway) probeOne(ctx context.Context, server *balance.Server) {
-	good, err := g.takesRequests(ctx, server)
+	good, err := g.probeServer(ctx, server)
 	if errors.Is(err, ratelimit.ErrClosed) || errors.Is(err, errOutdated) || errors.Is(err, balance.ErrResting) {
 		g.registry.NotProbed(server)
 		return
@@ -55,8 +54,9 @@
 	g.registry.Probed(server, good)
 }
 
-// takesRequests asks one server. The error is of what could not be asked.
-func (g *Gateway) takesRequests(ctx context.Context, server *balance.Server) (bool, error) {
+// probeServer sends one probe and reports whether the server accepts requests. The error
+// says why there is no usable answer.
+func (g *Gateway) probeServer(ctx context.Context, server *balance.Server) (bool, error) {
 	service := g.service(server.Service)
 	if service == nil {
 		return false, nil
@@ -71,13 +71,13 @@
 	answer, err := server.Pool.Do(ctx, &upstream.Request{
 		Method: http.MethodGet, Target: target, Host: server.Address,
 		Header: http.Header{g.headers.ExpectServer: {server.ID}}, IDHeader: g.headers.RequestID,
-		Check: func() error { return g.pass(ctx, server, g.maySend) },
+		Check: func() error { return g.admitSend(ctx, server, g.maySend) },
 	})
 	if err != nil {
 		return false, err
 	}
 	defer answer.Close()
-	g.hear(server, answer, sent, askedProbe)
+	g.receiveNotice(server, answer, sent, viaProbe)
 	if answer.Status == http.StatusMisdirectedRequest {
 		g.registry.Replaced(server)
 		return false, nil
@@ -86,8 +86,8 @@
 	return err == nil && g.adapter.TakesRequests(service, answer.Status, body), err
 }
 
-// maySend reports with an error that nothing is to be sent to the server: errOutdated if it takes
-// nothing any more, balance.ErrResting.
+// maySend returns an error if nothing may be sent to the server: errOutdated if it must get
+// nothing any more, balance.ErrResting if it is in backoff.
 func (g *Gateway) maySend(server *balance.Server) error {
 	err := g.registry.Admits(server, clock.Now())
 	if errors.Is(err, balance.ErrLeaving) {
@@ -96,7 +96,7 @@
 	return err
 }
 
-// service returns a published service, or nil.
+// service returns a published service, or nil if there is none of that name.
 func (g *Gateway) service(name string) *catalog.Service {
 	snapshot := g.catalog.Current()
 	if snapshot == nil {
--- a/entry/gateway/protocol.go
+++ b/entry/gateway/protocol.go
@@ -13,18 +13,18 @@
 	"baywall.example/entry/catalog"
 )
 
-// Headers are the names of the header fields that callers and backend servers
-// use. An empty name means that there is no such field.
+// Headers are the names of the header fields that callers and backend servers use. An empty
+// name means that the field is not used.
 type Headers struct {
-	RequestID     string // the caller's id of this attempt, echoed by backend servers
-	APIKey        string // of the caller, never passed on
-	Deadline      string // whole milliseconds that the caller, or the backend server, has
-	Team          string // set for backend servers
-	ExpectServer  string // id of the backend server that a request is meant for
+	RequestID     string // id that the caller gave this attempt, echoed by backend servers
+	APIKey        string // the caller's key, never forwarded
+	Deadline      string // time that the caller, or the backend server, has left, in whole milliseconds
+	Team          string // name of the team, set for backend servers
+	ExpectServer  string // id of the backend server that a request is addressed to
 	NotRun        string // in an answer: the request did not run
-	Priority      string // set for backend servers, never taken from callers
-	ExpectVersion string // set by gateways only, never taken from callers
-	ResumeAfter   string // id of the last event that the caller has
+	Priority      string // set for backend servers, never accepted from callers
+	ExpectVersion string // set by gateways only, never accepted from callers
+	ResumeAfter   string // id of the last event that the caller has received
 }
 
 // Adapter connects a gateway to the platform that it runs on.
@@ -35,44 +35,46 @@
 	Headers() Headers
 	// Store returns the client of the store at an IP:port.
 	Store(address string, log zerolog.Logger) source.Store
-	// CatalogKey is the key of the configuration, BackendsPrefix that of the
-	// list of backend servers.
+	// CatalogKey is the key of the configuration, BackendsPrefix the key prefix of the list
+	// of backend servers.
 	CatalogKey() string
 	BackendsPrefix() string
-	// EvacuatedZone returns the availability zone that an entry of the store asks to
-	// evacuate, false if it is none of these.
+	// EvacuatedZone returns the availability zone whose evacuation an entry of the store
+	// requests, or false if the entry is not such a request.
 	EvacuatedZone(key string) (zone string, ok bool)
 	// DecodeCatalog decodes a configuration.
 	DecodeCatalog(raw []byte) (catalog.Content, error)
 	// DecodeBackend decodes one entry of the list of backend servers.
 	DecodeBackend(key string, raw []byte) (balance.Info, error)
-	// ProbeTarget returns the path at which a backend server of the service is
-	// asked whether it takes requests, empty if it cannot be asked.
+	// ProbeTarget returns the path for probing whether a backend server of the service
+	// accepts requests, or an empty string if it cannot be probed.
 	ProbeTarget(s *catalog.Service) string
-	// TakesRequests reads the answer to a probe.
+	// TakesRequests reports whether the answer to a probe says that the server accepts
+	// requests.
 	TakesRequests(s *catalog.Service, status int, body []byte) bool
-	// ReadNotice reads from an answer, which came at a time, what its backend server says of
-	// itself. What cannot be read, as the error tells, says nothing.
+	// ReadNotice extracts what a backend server reports about itself in an answer that was
+	// received at the given time. Fields that cannot be read are treated as absent, and the
+	// error says why.
 	ReadNotice(status int, h http.Header, now time.Time) (notice.Notice, error)
-	// HoldOrder returns the order that makes a rank hold a step of its group, OrderTaken reads
-	// from the status of the answer whether it does.
+	// HoldOrder returns the order that makes a rank hold a step of its group. OrderTaken
+	// reports from the status of the answer whether the rank accepted an order.
 	HoldOrder(epoch, step uint64) Order
 	OrderTaken(status int) bool
-	// Directory serves callers who ask where to connect, and Ready those who
-	// ask whether this gateway takes requests.
+	// Directory serves callers that look up where to connect, and Ready those that check
+	// whether this gateway accepts requests.
 	Directory(d Directory) http.Handler
 	Ready(d Directory) http.Handler
 }
 
-// Directory is what a gateway tells about itself and the fleet.
+// Directory gives access to what a gateway knows about itself and the fleet.
 type Directory interface {
-	// Ready reports whether this gateway takes requests.
+	// Ready reports whether this gateway accepts requests.
 	Ready() bool
 	// Entries returns the addresses for callers of an availability zone.
 	Entries(ctx context.Context, zone string) Entries
 }
 
-// Entries are the addresses that a caller may use for a while.
+// Entries are the addresses that a caller may use until their TTL expires.
 type Entries struct {
 	Addresses  []string
 	TTLSeconds int
--- a/entry/gateway/quarantine.go
+++ b/entry/gateway/quarantine.go
@@ -14,51 +14,52 @@
 	"baywall.example/entry/upstream"
 )
 
-// A request that ends the backend servers which run it is refused after the third one,
-// by all gateways: what counts as proof is told in package quarantine.
+// A request that crashes the backend servers that run it is refused by all gateways after
+// the third crash. Package quarantine defines what counts as evidence.
 
 const (
-	// livenessTimeout bounds the look whether a backend server has ended: its host answers
-	// within a few milliseconds, and the request still has to be served elsewhere.
+	// livenessTimeout bounds the check whether a backend server's process has ended: its
+	// host answers within a few milliseconds, and the request still has to be served
+	// elsewhere.
 	livenessTimeout = 200 * time.Millisecond
-	// mostAsked is how many of the gateways that it meets within askedWindow a gateway
-	// asks for all suspects that they know: each knows about the same.
-	mostAsked   = 3
-	askedWindow = 2 * time.Second
+	// maxSuspectPulls is the number of newly met gateways within suspectPullWindow from
+	// which a gateway pulls all suspects: each of them knows about the same.
+	maxSuspectPulls   = 3
+	suspectPullWindow = 2 * time.Second
 )
 
-// fingerprint returns what equal requests have in common.
+// fingerprint returns a digest of what equal requests have in common.
 func (q *request) fingerprint() quarantine.Fingerprint {
-	if q.digest == nil {
+	if q.fingerprintCache == nil {
 		f := quarantine.Identity{
 			Team: q.team, Method: q.r.Method, Host: hostOf(q.r.Host), Target: q.r.RequestURI, Body: q.body,
 		}.Fingerprint()
-		q.digest = &f
+		q.fingerprintCache = &f
 	}
-	return *q.digest
+	return *q.fingerprintCache
 }
 
-// lookIfAdmitted looks for a server if the request may be tried now.
-func (q *request) lookIfAdmitted(queued bool, now time.Time) (balance.Choice, balance.Availability, quarantine.Permission) {
+// pickIfAdmitted picks a server if the request may be attempted now.
+func (q *request) pickIfAdmitted(queued bool, now time.Time) (balance.Choice, balance.Availability, quarantine.Permission) {
 	permission := q.admit(now)
 	if permission != quarantine.Granted {
 		return balance.Choice{}, balance.AllBusy, permission
 	}
-	choice, found := q.look(queued, now)
+	choice, found := q.pick(queued, now)
 	if found != balance.Available {
-		q.suspect.Release()
+		q.quarantineAttempt.Release()
 	}
 	return choice, found, permission
 }
 
-// admit asks whether the request may be tried.
+// admit asks the quarantine table whether the request may be attempted.
 func (q *request) admit(now time.Time) quarantine.Permission {
-	q.suspect = quarantine.Attempt{Round: 1}
+	q.quarantineAttempt = quarantine.Attempt{Round: 1}
 	if q.g.suspects.Empty() {
 		return quarantine.Granted
 	}
 	attempt, permission := q.g.suspects.Admit(q.fingerprint(), now)
-	q.suspect = attempt
+	q.quarantineAttempt = attempt
 	if permission == quarantine.Refused {
 		judgement := q.g.suspects.Judge(q.fingerprint(), now)
 		q.quarantined = &judgement
@@ -66,8 +67,9 @@
 	return permission
 }
 
-// avoids returns which servers the request keeps away from, nil if none.
-func (q *request) avoids(now time.Time) func(*balance.Server) bool {
+// avoidedServers returns a function that reports whether the request avoids a server, or
+// nil if it avoids none.
+func (q *request) avoidedServers(now time.Time) func(*balance.Server) bool {
 	if q.g.suspects.Empty() {
 		return nil
 	}
@@ -78,8 +80,8 @@
 	return func(s *balance.Server) bool { return servers[quarantine.ServerKey(s.Incarnation())] }
 }
 
-// noteEnd notes what the end of an attempt proves of the request.
-func (q *request) noteEnd(ctx context.Context, server *balance.Server, a *attempt) {
+// recordOutcome records what the end of an attempt proves about the request.
+func (q *request) recordOutcome(ctx context.Context, server *balance.Server, a *attempt) {
 	if a.verdict == verdictAnswered && a.status < http.StatusMultipleChoices && !q.g.suspects.Empty() {
 		q.g.suspects.Succeeded(q.fingerprint(), clock.Now())
 		return
@@ -90,12 +92,13 @@
 	}
 	q.g.registry.Ended(server, clock.Now())
 	q.g.suspects.Ended(q.fingerprint(), quarantine.End{
-		Server: quarantine.ServerKey(server.Incarnation()), Round: q.suspect.Round, At: clock.Now(),
+		Server: quarantine.ServerKey(server.Incarnation()), Round: q.quarantineAttempt.Round, At: clock.Now(),
 	})
 }
 
-// livenessAfter looks whether the backend server of a lost attempt has ended. One that
-// only stood with its group cuts its answers, too, but takes new connections.
+// livenessAfter checks whether the backend server of a lost attempt has ended. A server
+// that only stalled together with its group also cuts its answers, but accepts new
+// connections.
 func (q *request) livenessAfter(ctx context.Context, server *balance.Server, v verdict) upstream.Liveness {
 	if v != verdictLost && v != verdictCut || ctx.Err() != nil {
 		return 0
@@ -105,24 +108,24 @@
 	return server.Pool.Liveness(ctx)
 }
 
-// met asks a gateway that was met for all suspects that it knows. Heartbeats tell them in
-// turn only.
-func (p *peering) met(peer cluster.Peer) {
+// peerMet pulls all known suspects from a gateway that was newly met. Heartbeats carry only
+// some of the suspects at a time.
+func (p *peering) peerMet(peer cluster.Peer) {
 	p.mu.Lock()
 	now := clock.Now()
-	if now.Sub(p.askedSince) >= askedWindow {
-		p.askedSince, p.asked = now, 0
+	if now.Sub(p.suspectPullsSince) >= suspectPullWindow {
+		p.suspectPullsSince, p.suspectPulls = now, 0
 	}
-	p.asked++
-	enough := p.asked > mostAsked
+	p.suspectPulls++
+	enough := p.suspectPulls > maxSuspectPulls
 	p.mu.Unlock()
 	if enough || peer.Front == "" {
 		return
 	}
-	p.gateway.run.Go(func() { p.askSuspects(peer) })
+	p.gateway.run.Go(func() { p.pullSuspects(peer) })
 }
 
-func (p *peering) askSuspects(from cluster.Peer) {
+func (p *peering) pullSuspects(from cluster.Peer) {
 	ctx, cancel := context.WithTimeout(context.Background(), follow.PullTimeout)
 	defer cancel()
 	suspects, err := p.fetchSuspects(ctx, from)
--- a/entry/gateway/quarantine_test.go
+++ b/entry/gateway/quarantine_test.go
@@ -19,32 +19,32 @@
 	"baywall.example/entry/catalog"
 )
 
-// A caller repeated one request every few seconds, at any gateway. It ended each backend
-// server that began to run it. A gateway tried it at as many servers as its route allows,
-// answered, and forgot it, so ten servers ended in 20 s under one request, most of them
-// after a third one had ended:
+// These tests guard against a request that crashes every backend server that runs it. A
+// caller repeated such a request every few seconds, at any gateway. Each gateway tried it
+// at as many servers as the route allows, answered, and forgot it, so that one request
+// ended ten servers in 20 s, most of them after a third one had ended:
 //
 //	attempt ended: attempt 1, verdict lost, cause "unexpected EOF", liveness ended
 //
-// and seven other requests on the same server lost their connection in the same
-// millisecond. The group of the server stood for 1.5 s each time.
+// Seven other requests on the same server lost their connections in the same millisecond,
+// and the server's group stalled for 1.5 s each time.
 
-// mortal is a backend server that a request can end. It starts again at its address after
-// restartTime.
-type mortal struct {
+// crashableServer is a backend server that a request can crash. It restarts at its address
+// after restartTime.
+type crashableServer struct {
 	t       *testing.T
 	address string
 	answer  http.Handler
 
-	mu     sync.Mutex
-	server *http.Server
-	ends   atomic.Int32
-	wg     sync.WaitGroup
+	mu      sync.Mutex
+	server  *http.Server
+	crashes atomic.Int32
+	wg      sync.WaitGroup
 }
 
 const restartTime = 150 * time.Millisecond
 
-func (m *mortal) start() {
+func (m *crashableServer) start() {
 	ln, err := net.Listen("tcp4", m.address)
 	if err != nil {
 		m.t.Error(err)
@@ -54,64 +54,65 @@
 	defer m.mu.Unlock()
 	m.server = &http.Server{Handler: m.answer, ReadHeaderTimeout: time.Second}
 	server := m.server
-	m.wg.Go(func() { _ = server.Serve(ln) }) // until it ends
+	m.wg.Go(func() { _ = server.Serve(ln) }) // returns when the server is closed
 }
 
-// end ends the server with all its connections.
-func (m *mortal) end() {
+// crash stops the server and closes all its connections.
+func (m *crashableServer) crash() {
 	m.mu.Lock()
 	server := m.server
 	m.server = nil
 	m.mu.Unlock()
 	if server == nil {
-		return // it has ended already
+		return // it has crashed already
 	}
-	m.ends.Add(1)
-	_ = server.Close() // as its process does
+	m.crashes.Add(1)
+	_ = server.Close() // closes all connections, as the end of the process does
 	m.wg.Go(func() {
 		time.Sleep(restartTime)
 		m.start()
 	})
 }
 
-// mortals are gateways that know each other before backend servers that requests can end.
-type mortals struct {
-	servers  []*mortal
-	gateways []*world
+// crashFleet is a set of gateways that know each other, in front of backend servers that
+// requests can crash.
+type crashFleet struct {
+	servers  []*crashableServer
+	gateways []*testGateway
 	store    fixedStore
-	runs     atomic.Int32 // of requests that end their server
-	arrivals atomic.Int32 // of these at any server
+	runs     atomic.Int32 // runs of requests that crash their server
+	arrivals atomic.Int32 // arrivals of these requests at any server
 }
 
-// lethalPath is the path of requests that end the server which runs them.
+// lethalPath is the path of requests that crash the server that runs them.
 const lethalPath = "/many/lethal"
 
-// ended returns how many servers have ended at least once. One that starts again under its
-// id is the same as before, as its entry tells no start.
-func (w *mortals) ended() (n int) {
+// crashed returns the number of servers that have crashed at least once. A server that
+// restarts under its id counts as the same one, as its entry gives no start time.
+func (w *crashFleet) crashed() (n int) {
 	for _, m := range w.servers {
-		if m.ends.Load() > 0 {
+		if m.crashes.Load() > 0 {
 			n++
 		}
 	}
 	return n
 }
 
-func startMortals(t *testing.T, servers, gateways int, answer http.HandlerFunc) *mortals {
+func startCrashFleet(t *testing.T, servers, gateways int, answer http.HandlerFunc) *crashFleet {
 	t.Helper()
-	w := &mortals{store: fixedStore{item(t, "catalog", catalog.Content{
+	w := &crashFleet{store: fixedStore{item(t, "catalog", catalog.Content{
 		Version: 1, Routes: routes(), Teams: []catalog.Team{{Name: "team", Keys: []string{"key"}}},
 	})}}
 	for i := range servers {
-		m := &mortal{t: t, address: freeAddress(t)}
+		m := &crashableServer{t: t, address: freeAddress(t)}
 		m.answer = http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-			_, _ = io.Copy(io.Discard, r.Body) // only then a closed connection shows
+			_, _ = io.Copy(io.Discard, r.Body) // a closed connection is only detected after the body was read
 			rw.Header().Set("T-Id", r.Header.Get("T-Id"))
 			if r.URL.Path == lethalPath {
 				w.arrivals.Add(1)
 				time.Sleep(20 * time.Millisecond)
 				w.runs.Add(1)
-				m.end()
+				m.crash()
 				return
 			}
 			answer(rw, r)
@@ -138,11 +139,11 @@
 	return w
 }
 
-// addGateway starts another gateway that meets the others.
-func (w *mortals) addGateway(t *testing.T) *world {
+// addGateway starts another gateway and waits until it is ready and has met the others.
+func (w *crashFleet) addGateway(t *testing.T) *testGateway {
 	t.Helper()
-	next := &world{}
-	next.begin(t, source.Store(w.store), func(s *Settings) {
+	next := &testGateway{}
+	next.launch(t, source.Store(w.store), func(s *Settings) {
 		s.VM = fmt.Sprintf("vm%d", len(w.gateways))
 		for _, g := range w.gateways {
 			s.Seeds = append(s.Seeds, g.gateway.settings.Listen.Peers)
@@ -156,8 +157,8 @@
 	return next
 }
 
-// send sends a request with a body through a gateway.
-func (w *mortals) send(t *testing.T, gateway int, path, body string) *http.Response {
+// send posts a request with the given body through a gateway.
+func (w *crashFleet) send(t *testing.T, gateway int, path, body string) *http.Response {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -175,49 +176,49 @@
 		return &http.Response{}
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, resp.Body) // what counts is the status
+	_, _ = io.Copy(io.Discard, resp.Body) // only the status matters
 	return resp
 }
 
-// spreadTime is in which all gateways know what one of them saw.
-const spreadTime = 600 * time.Millisecond
+// propagationTime is the time within which all gateways learn what one of them saw.
+const propagationTime = 600 * time.Millisecond
 
-func TestARequestThatEndsItsServersIsRefusedEverywhere(t *testing.T) {
+func TestLethalRequestIsQuarantinedEverywhere(t *testing.T) {
 	is := is.New(t)
-	w := startMortals(t, 8, 3, func(rw http.ResponseWriter, r *http.Request) { ok(0, rw, r) })
-	for i := 0; w.ended() < 3; i++ {
-		is.True(i < 9) // its first arrivals are tried
+	w := startCrashFleet(t, 8, 3, func(rw http.ResponseWriter, r *http.Request) { ok(0, rw, r) })
+	for i := 0; w.crashed() < 3; i++ {
+		is.True(i < 9) // the first arrivals are attempted
 		w.send(t, i%3, lethalPath, "lethal")
 		time.Sleep(restartTime)
 	}
-	time.Sleep(spreadTime)
+	time.Sleep(propagationTime)
 	before := w.arrivals.Load()
-	w.addGateway(t) // as one that was started again
-	time.Sleep(spreadTime)
+	w.addGateway(t) // like a gateway that was restarted
+	time.Sleep(propagationTime)
 	for i := range 8 {
 		began := time.Now()
 		resp := w.send(t, i%4, lethalPath, "lethal")
 		is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
 		is.Equal(resp.Header.Get(headerOutcome), "not-run")
-		is.True(time.Since(began) < 100*time.Millisecond) // what is known to fail is not held
+		is.True(time.Since(began) < 100*time.Millisecond) // a request that is known to fail does not wait
 		is.Equal(w.send(t, i%4, "/many/x", "other").StatusCode, http.StatusOK)
 	}
 	is.Equal(w.arrivals.Load(), before) // none reached a server
 }
 
-// Requests that were on a server that ended are tried on and served, also many equal ones
-// and also if everything fails several times.
+// Other requests that were on a crashed server are retried and served, even if many of them
+// are equal and even if all servers fail several times.
 func TestOtherRequestsAreServedOn(t *testing.T) {
 	is := is.New(t)
 	slow := func(rw http.ResponseWriter, r *http.Request) {
 		time.Sleep(30 * time.Millisecond)
 		ok(0, rw, r)
 	}
-	w := startMortals(t, 6, 2, slow)
+	w := startCrashFleet(t, 6, 2, slow)
 	ctx, cancel := context.WithCancel(t.Context())
 	var run sync.WaitGroup
 	for i := range 24 {
-		body := "equal" // half of them are
+		body := "equal" // half of the requests are equal
 		if i%2 == 0 {
 			body = fmt.Sprint("body ", i)
 		}
@@ -231,9 +232,9 @@
 			}
 		})
 	}
-	for range 4 { // everything fails, as fast as it is back
+	for range 4 { // all servers fail again as soon as they are back
 		for _, m := range w.servers {
-			m.end()
+			m.crash()
 		}
 		time.Sleep(2 * restartTime)
 	}
@@ -243,7 +244,7 @@
 	}
 	cancel()
 	run.Wait()
-	time.Sleep(1200 * time.Millisecond) // the longest first ejection
+	time.Sleep(1200 * time.Millisecond) // the longest duration of a first ejection
 	for i := range 24 {
 		is.Equal(w.send(t, i%2, "/many/x", fmt.Sprint("body ", i)).StatusCode, http.StatusOK)
 	}
--- a/entry/gateway/refused_test.go
+++ b/entry/gateway/refused_test.go
@@ -8,9 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// What callers of a route that runs at most once are told where backend servers answer with a status
-// that says that nothing has run: it is passed on only as the server's own, and else is true.
-func TestStatusesThatPromiseThatNothingHasRun(t *testing.T) {
+// Callers of a route that runs at most once may rely on a status which says that nothing
+// has run: it is passed on if it is the backend server's own answer, and is otherwise only
+// sent if it is true.
+func TestNotRunStatuses(t *testing.T) {
 	answer := func(status int, notRun bool) func(int, http.ResponseWriter, *http.Request) {
 		return func(_ int, w http.ResponseWriter, _ *http.Request) {
 			if notRun {
@@ -29,7 +30,7 @@
 			ok(n, w, r)
 		}
 	}
-	runs := func(_ int, w http.ResponseWriter, _ *http.Request) { reset(w) } // before it answers
+	runs := func(_ int, w http.ResponseWriter, _ *http.Request) { resetConnection(w) } // resets the connection before it answers
 	const own, notRun, unknown = "", "not-run", "unknown"
 	cases := []struct {
 		name    string
--- a/entry/gateway/renew.go
+++ b/entry/gateway/renew.go
@@ -13,14 +13,15 @@
 )
 
 // A request may wait for seconds between the decision about it and its sending: in a queue,
-// for a connection, for a second attempt. Meanwhile its team's key may have been taken away,
-// its route moved, its backend server told to leave. So what was decided is looked at again
-// while the request waits, and at the moment of sending.
+// for a connection, or for a second attempt. Meanwhile its team's key may have been
+// revoked, its route moved or its backend server told to leave. So the decision is checked
+// again while the request waits, and at the moment of sending.
 
-// errOutdated means that the decision to send a request to a backend server no longer holds.
+// errOutdated means that the decision to send a request to a backend server is no longer
+// valid.
 var errOutdated = errors.New("gateway: decision outdated")
 
-// denial is a refusal with its status.
+// denial is a refusal together with its status.
 type denial struct {
 	refusal contract.Refusal
 	status  int
@@ -30,11 +31,11 @@
 	return &denial{refusal: contract.Refusal{Outcome: contract.NotRun, Reason: reason}, status: status}
 }
 
-// decide finds the route, the team and the service of the request by a configuration. It
+// decide determines the route, team and service of the request from a configuration. It
 // returns nil if the configuration allows the request.
 func (q *request) decide(s *catalog.Snapshot) *denial {
 	q.snapshot, q.version = s, s.Version
-	q.decided = q.g.knows()
+	q.decidedState = q.g.applied()
 	route := s.Match(hostOf(q.r.Host), q.r.URL.EscapedPath())
 	if route == nil {
 		return denied(contract.ReasonUnknownService, http.StatusNotFound)
@@ -58,9 +59,9 @@
 	return nil
 }
 
-// renew decides again if another configuration has come into force. What it denies is in
-// q.denied.
-func (q *request) renew() {
+// refreshDecision decides again if another configuration has come into force. It stores a
+// denial in q.denied.
+func (q *request) refreshDecision() {
 	current := q.g.catalog.Current()
 	if current == q.snapshot {
 		return
@@ -73,43 +74,44 @@
 		return
 	}
 	if q.sequence.MayHaveRun() && !q.route.Idempotent() {
-		q.denied = denied(contract.ReasonLinkLost, http.StatusBadGateway) // it must not run twice any more
+		q.denied = denied(contract.ReasonLinkLost, http.StatusBadGateway) // under the new route it must not run twice
 		return
 	}
 	if q.service != service {
-		q.leaveLine(q.state)
-		q.state = q.g.stateOf(q.service)
-		q.budget.share = q.g.share(q.service)
+		q.leavePermitQueue(q.state)
+		q.state = q.g.serviceStateOf(q.service)
+		q.budget.retryShare = q.g.retryShare(q.service)
 		q.excluded = make(map[string]bool)
 	}
 	q.sequence.Idempotent, q.sequence.MaxRuns = q.route.Idempotent(), max(1, q.route.MaxAttempts)
 	q.setTeam()
 }
 
-// mayGoTo reports with an error that the request is not to be sent to the server any more.
-func (q *request) mayGoTo(server *balance.Server) error {
+// checkSend returns an error if the request must no longer be sent to the server.
+func (q *request) checkSend(server *balance.Server) error {
 	if q.g.catalog.Current() != q.snapshot {
 		return errOutdated
 	}
 	return q.g.maySend(server)
 }
 
-// mayGoNow is asked at the moment of sending, when there is a connection.
-func (q *request) mayGoNow(ctx context.Context, server *balance.Server) error {
-	return q.g.pass(ctx, server, q.mayGoTo)
+// checkAtSend is called at the moment of sending, when there is a connection.
+func (q *request) checkAtSend(ctx context.Context, server *balance.Server) error {
+	return q.g.admitSend(ctx, server, q.checkSend)
 }
 
-// pass is the gate before a backend server: it takes the permit for one with a limit. Every
-// request and probe passes here, since gateways that each heed a limit alone send several times
-// what it allows. The function reports with an error what is not to be sent any more.
-func (g *Gateway) pass(ctx context.Context, server *balance.Server, mayGoTo func(*balance.Server) error) error {
-	if err := mayGoTo(server); err != nil {
+// admitSend checks whether something may be sent to a backend server and takes the permits
+// for one with a limit. Every request and probe goes through it, since gateways that each
+// observe a limit on their own send several times what it allows. The check function
+// returns an error for what must no longer be sent.
+func (g *Gateway) admitSend(ctx context.Context, server *balance.Server, check func(*balance.Server) error) error {
+	if err := check(server); err != nil {
 		return err
 	}
 	if err := g.limits.takePermits(ctx, server); err != nil {
 		return err
 	}
-	return mayGoTo(server) // the permit may have been asked for elsewhere
+	return check(server) // obtaining the permit may have taken a call to another gateway
 }
 
 // deny ends a request that the configuration in force does not allow.
@@ -118,7 +120,7 @@
 	if q.sequence.MayHaveRun() {
 		d = &denial{contract.Refusal{Outcome: contract.Unknown, Reason: d.refusal.Reason}, http.StatusBadGateway}
 	}
-	if stream.begun {
+	if stream.headerSent {
 		q.finish(retry.Decision{Refusal: d.refusal}, attempt{verdict: verdictOutdated, err: errOutdated}, stream)
 		return
 	}
--- a/entry/gateway/renew_test.go
+++ b/entry/gateway/renew_test.go
@@ -14,10 +14,10 @@
 	"baywall.example/entry/catalog"
 )
 
-// offer puts a configuration in force and waits until it is.
-func (w *world) offer(t *testing.T, content catalog.Content) {
+// applyConfiguration offers a configuration to the gateway and waits until it is in force.
+func (w *testGateway) applyConfiguration(t *testing.T, content catalog.Content) {
 	t.Helper()
-	k := w.gateway.knows().at
+	k := w.gateway.applied().at
 	next := item(t, "catalog", content)
 	next.Position = at(k.Revision + 1)
 	w.gateway.follower.Offer(source.State{Events: []source.Event{{Item: next}}, After: k, Position: next.Position, Changed: next.Position})
@@ -26,10 +26,10 @@
 	}
 }
 
-// What was decided when a request came in was used for all its attempts: one that a backend
-// server turned away after its key had been taken away was sent to the next server, and one
-// whose route had moved to the old service.
-func TestASecondAttemptIsDecidedByTheConfigurationInForce(t *testing.T) {
+// Guards against using the decision made on arrival for all attempts of a request. A
+// request that a backend server rejected after its key had been revoked was sent to the
+// next server, and one whose route had moved was sent to the old service.
+func TestRetryUsesCurrentConfiguration(t *testing.T) {
 	keyless := []catalog.Team{{Name: "team", Keys: []string{"other"}}}
 	keyed := []catalog.Team{{Name: "team", Keys: []string{"key"}}}
 	renamed := []catalog.Team{{Name: "renamed", Keys: []string{"key"}}}
@@ -40,20 +40,20 @@
 		team   string
 		runs   int32
 	}{
-		{"the key is taken away", catalog.Content{Version: 2, Routes: routes(), Teams: keyless}, http.StatusUnauthorized, "", 1},
+		{"the key is revoked", catalog.Content{Version: 2, Routes: routes(), Teams: keyless}, http.StatusUnauthorized, "", 1},
 		{"the route is dropped", catalog.Content{Version: 2, Routes: routes()[:1], Teams: keyed}, http.StatusNotFound, "", 1},
-		{"the key is another team's", catalog.Content{Version: 2, Routes: routes(), Teams: renamed}, http.StatusOK, "renamed", 2},
-		{"nothing that matters", catalog.Content{Version: 2, Routes: routes(), Teams: keyed}, http.StatusOK, "team", 2},
+		{"the key moves to another team", catalog.Content{Version: 2, Routes: routes(), Teams: renamed}, http.StatusOK, "renamed", 2},
+		{"no relevant change", catalog.Content{Version: 2, Routes: routes(), Teams: keyed}, http.StatusOK, "team", 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var w *world
+			var w *testGateway
 			w = start(t, 2, func(n int, rw http.ResponseWriter, r *http.Request) {
 				if n > 1 {
 					_, _ = io.WriteString(rw, r.Header.Get("T-Team"))
 					return
 				}
-				w.offer(t, c.next)
+				w.applyConfiguration(t, c.next)
 				rw.Header().Set("T-Not-Run", "1")
 				rw.WriteHeader(http.StatusServiceUnavailable)
 			})
@@ -68,9 +68,9 @@
 	}
 }
 
-// A request whose first attempt may have run is not told that it did not run, and not sent
+// A request whose first attempt may have run is not refused as not run, and is not sent
 // again once its route says that it must not run twice.
-func TestADenialAfterAnAttemptThatMayHaveRunPromisesNothing(t *testing.T) {
+func TestDenialAfterPossibleRunIsUnknown(t *testing.T) {
 	changed := routes()
 	for i := range changed {
 		changed[i].Kind = catalog.KindNonIdempotent
@@ -80,15 +80,15 @@
 		routes []catalog.Route
 		key    string
 	}{
-		{"the key is taken away", routes(), "other"},
+		{"the key is revoked", routes(), "other"},
 		{"the route is no longer idempotent", changed, "key"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var w *world
+			var w *testGateway
 			w = start(t, 2, func(_ int, rw http.ResponseWriter, _ *http.Request) {
-				w.offer(t, catalog.Content{Version: 2, Routes: c.routes, Teams: []catalog.Team{{Name: "team", Keys: []string{c.key}}}})
-				reset(rw)
+				w.applyConfiguration(t, catalog.Content{Version: 2, Routes: c.routes, Teams: []catalog.Team{{Name: "team", Keys: []string{c.key}}}})
+				resetConnection(rw)
 			})
 			resp, _, err := w.get(t, context.Background(), "/many/x", nil)
 			is.NoErr(err)
@@ -99,21 +99,21 @@
 	}
 }
 
-// Between the choice of a backend server and the sending lies a connection, which may take
-// as long as a dial may. The server that began to leave meanwhile gets nothing.
-func TestNothingIsSentToAServerThatBeganToLeaveAfterItWasChosen(t *testing.T) {
+// Connecting to a picked backend server may take as long as the dial timeout. A server that
+// starts to leave in the meantime gets nothing.
+func TestNoSendToServerThatLeavesAfterPick(t *testing.T) {
 	is := is.New(t)
 	w := start(t, 1, ok)
 	choice, _ := w.gateway.registry.Pick(balance.Demand{Service: "s"}, time.Now())
 	defer choice.Release()
 	server := choice.Server
 	q := &request{g: w.gateway, snapshot: w.gateway.catalog.Current()}
-	is.NoErr(q.mayGoTo(server))
-	k := w.gateway.knows().at
+	is.NoErr(q.checkSend(server))
+	k := w.gateway.applied().at
 	gone := source.Event{Item: source.Item{Key: "backends/" + server.ID, Position: at(k.Revision + 1)}, Removed: true}
 	w.gateway.follower.Offer(source.State{Events: []source.Event{gone}, After: k, Position: gone.Position, Changed: gone.Position})
-	for until := time.Now().Add(2 * time.Second); q.mayGoTo(server) == nil && time.Now().Before(until); {
+	for until := time.Now().Add(2 * time.Second); q.checkSend(server) == nil && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
-	is.Equal(q.mayGoTo(server), errOutdated)
+	is.Equal(q.checkSend(server), errOutdated)
 }
--- a/entry/gateway/request.go
+++ b/entry/gateway/request.go
@@ -21,14 +21,13 @@
 )
 
 const (
-	// defaultBody is the largest body, in bytes, where operators set no limit.
+	// defaultBody is the largest request body, in bytes, if operators set no limit.
 	defaultBody = 8 << 20
-	// defaultTimeout bounds a request that names no deadline on a route without
-	// a timeout.
+	// defaultTimeout bounds a request without a deadline on a route without a timeout.
 	defaultTimeout = 60 * time.Second
 )
 
-// request is one caller's request on its way through the gateway.
+// request is one caller's request and the state of its handling.
 type request struct {
 	g     *Gateway
 	w     http.ResponseWriter
@@ -38,56 +37,56 @@
 	began time.Time
 	id    string
 	route *catalog.Route
-	// snapshot is the configuration by which it was decided, decided what was known of the
-	// store then.
-	snapshot *catalog.Snapshot
-	decided  known
-	denied   *denial // nil unless the configuration in force does not allow it any more
-	version  uint64
-	team     string
-	priority int // rank, 0 is the most urgent
-	service  string
-	body     []byte
-	header   http.Header // for backend servers
+	// snapshot is the configuration on which the decision about the request is based, and
+	// decidedState the store state that was known then.
+	snapshot     *catalog.Snapshot
+	decidedState appliedState
+	denied       *denial // nil unless the configuration in force no longer allows the request
+	version      uint64
+	team         string
+	priority     int // priority level, 0 is the most urgent
+	service      string
+	body         []byte
+	header       http.Header // for backend servers
 
 	deadline time.Time     // the caller's or the route's timeout, whichever is first
-	limit    time.Duration // that the caller allows
-	// interrupted tells that it goes on with a stream that the caller has seen a part of,
-	// or that an attempt at it may have run.
-	interrupted bool
-	state       *serviceState
-	refusedIn   *admission.Situation // nil unless it was refused for want of a place
-	sequence    retry.Sequence
-	budget      deferredBudget
-	excluded    map[string]bool         // servers that it was sent to
-	rejected    bool                    // a server turned it away
-	moveTo      *balance.Choice         // where it goes on, nil = not chosen yet
-	waited      time.Duration           // for a server
-	digest      *quarantine.Fingerprint // nil = not needed yet
-	suspect     quarantine.Attempt      // the present one
-	quarantined *quarantine.Judgement   // nil unless it is refused for that
-
-	line    *admission.Place // among those that wait for a permit or the end of a rest, nil = it does not
-	atLimit int              // servers left out for the limits that they name, at the latest look
-	resting int              // servers left out as they rest, at the latest look
-	turnBy  time.Time        // until when it waits for a permit, or for the end of a rest
-
-	server      string           // of the latest attempt
-	serverLimit *ratelimit.Known // that it named when it was sent to, nil = none
-	sent        known            // what was known of the store then
-	serverLoad  int              // requests of all gateways to it when it was picked
-	serverPace  time.Duration    // pause between events there then, 0 = not known
-	firstAnswer time.Duration
-	lastEvent   time.Time // sent to the caller
-	longestGap  time.Duration
-	events      int
+	timeout  time.Duration // time that the caller allows
+	// interrupted is set if the request resumes a stream of which the caller has received a
+	// part, or if an attempt at it may have run.
+	interrupted       bool
+	state             *serviceState
+	refusalSituation  *admission.Situation // nil unless it was refused for lack of a slot
+	sequence          retry.Sequence
+	budget            deferredBudget
+	excluded          map[string]bool         // servers, by id, that an attempt failed at or was moved away from
+	rejected          bool                    // a server rejected it
+	moveTo            *balance.Choice         // server at which the stream is resumed, nil = not picked yet
+	waited            time.Duration           // time spent waiting for a server
+	fingerprintCache  *quarantine.Fingerprint // nil = not computed yet
+	quarantineAttempt quarantine.Attempt      // the current attempt, as package quarantine tracks it
+	quarantined       *quarantine.Judgement   // nil unless it is refused as quarantined
+
+	permitWait *admission.Place // entry in the queue for a permit or for the end of a backoff, nil = not queued
+	atLimit    int              // servers excluded at the latest pick because they are at their limits
+	backingOff int              // servers excluded at the latest pick because they are in backoff
+	queueUntil time.Time        // until when it waits for a permit or for the end of a backoff
+
+	server         string           // server of the latest attempt
+	serverLimit    *ratelimit.Known // limit that the server had named when the attempt was made, nil = none
+	sent           appliedState     // store state that was known when the attempt was made
+	serverLoad     int              // load of the server from all gateways when it was picked, in requests
+	serverEventGap time.Duration    // pause between events of the server then, 0 = not known
+	firstAnswer    time.Duration
+	lastEvent      time.Time // when the latest event was sent to the caller
+	longestGap     time.Duration
+	events         int
 }
 
 func (g *Gateway) serveRequest(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	g.inst.requests.Inc()
-	g.activity.arrived()
+	g.activity.countArrival()
 	if g.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -104,7 +103,7 @@
 	q.dispatch()
 }
 
-// match finds the route, the team and the service, or what denies the request.
+// match determines the route, team and service of the request, or returns a denial.
 func (q *request) match() *denial {
 	snapshot := q.awaitCatalog()
 	if snapshot == nil {
@@ -113,7 +112,7 @@
 	return q.decide(snapshot)
 }
 
-// hostOf returns the host without a port.
+// hostOf returns a host without its port.
 func hostOf(host string) string {
 	for i := len(host) - 1; i >= 0; i-- {
 		switch {
@@ -126,7 +125,7 @@
 	return host
 }
 
-// readBody takes in the whole body, so that it can be sent more than once.
+// readBody reads the whole body, so that it can be sent more than once.
 func (q *request) readBody() bool {
 	limit := int64(defaultBody)
 	if s := q.g.catalog.Current(); s.Limits.BodyBytes > 0 {
@@ -148,24 +147,24 @@
 
 // prepare sets the deadline and the headers for backend servers.
 func (q *request) prepare() {
-	q.limit = q.callersLimit()
-	q.deadline = q.began.Add(q.limit)
+	q.timeout = q.callerTimeout()
+	q.deadline = q.began.Add(q.timeout)
 	if q.route.Timeout > 0 {
-		q.deadline = q.began.Add(min(q.limit, q.route.Timeout))
+		q.deadline = q.began.Add(min(q.timeout, q.route.Timeout))
 	}
 	q.interrupted = q.r.Header.Get(q.g.headers.ResumeAfter) != ""
-	q.state = q.g.stateOf(q.service)
+	q.state = q.g.serviceStateOf(q.service)
 	if !q.interrupted {
 		q.g.registry.Arrived(q.service, q.began)
 	}
-	q.budget.share = q.g.share(q.service)
+	q.budget.retryShare = q.g.retryShare(q.service)
 	q.sequence = retry.Sequence{
 		Idempotent: q.route.Idempotent(), Deadline: q.deadline,
 		Budget: &q.budget, MaxRuns: max(1, q.route.MaxAttempts),
 	}
-	q.budget.share.Request()
+	q.budget.retryShare.Request()
 	q.excluded = make(map[string]bool)
-	q.suspect = quarantine.Attempt{Round: 1}
+	q.quarantineAttempt = quarantine.Attempt{Round: 1}
 	h := q.g.headers
 	q.header = make(http.Header, len(q.r.Header)+3)
 	named := connectionFields(q.r.Header)
@@ -180,7 +179,7 @@
 	q.setTeam()
 }
 
-// setTeam tells backend servers the team.
+// setTeam sets the header that names the team to backend servers.
 func (q *request) setTeam() {
 	q.header.Del(q.g.headers.Team)
 	if q.team != "" {
@@ -202,11 +201,11 @@
 	return out
 }
 
-// callersLimit returns how long the caller allows.
-func (q *request) callersLimit() time.Duration {
+// callerTimeout returns the time that the caller allows for the request.
+func (q *request) callerTimeout() time.Duration {
 	ms, err := strconv.ParseInt(q.r.Header.Get(q.g.headers.Deadline), 10, 64)
 	if err != nil || ms < 0 {
-		return defaultTimeout // the caller names none
+		return defaultTimeout // the caller sets no deadline
 	}
 	return time.Duration(min(ms, defaultTimeout.Milliseconds())) * time.Millisecond
 }
--- a/entry/gateway/settings.go
+++ b/entry/gateway/settings.go
@@ -14,24 +14,24 @@
 	Zone string `yaml:"zone"`
 	// Listen are the addresses that the process listens on.
 	Listen ListenSettings `yaml:"listen"`
-	// Seeds are addresses, IP:port, of other gateways' listen.peers, asked
+	// Seeds are addresses, IP:port, of other gateways' listen.peers, which are contacted
 	// until they answer. Some may be down or stale. Default none.
 	Seeds []string `yaml:"seeds"`
-	// Bootstrap tells that the whole fleet starts for the first time: nobody knows anything
-	// that this gateway could ask for. Default false.
+	// Bootstrap says that the whole fleet starts for the first time, so that no other
+	// gateway has any state that this one could request. Default false.
 	Bootstrap bool `yaml:"bootstrap"`
-	// Store is where configuration and backend servers are read, IP:port.
-	// Required.
+	// Store is the address, IP:port, of the store that holds the configuration and the list
+	// of backend servers. Required.
 	Store string `yaml:"store"`
-	// Follow tells how the store is followed.
+	// Follow sets how the store is followed.
 	Follow FollowSettings `yaml:"follow"`
-	// Machine tells what this VM may use.
+	// Machine describes the CPU resources of this VM.
 	Machine MachineSettings `yaml:"machine"`
-	// Entries tell what callers learn about where to connect.
+	// Entries sets what the directory tells callers about where to connect.
 	Entries EntriesSettings `yaml:"entries"`
 	// Retry bounds the retries of each service over all gateways.
 	Retry RetrySettings `yaml:"retry"`
-	// Drain tells how the process leaves.
+	// Drain sets how the process shuts down.
 	Drain DrainSettings `yaml:"drain"`
 	// LogLevel is one of debug, info, warn, error. Default info.
 	LogLevel string `yaml:"log_level"`
@@ -39,63 +39,67 @@
 
 // ListenSettings are addresses, IP:port each.
 type ListenSettings struct {
-	// Front takes callers' requests. Required.
+	// Front accepts callers' requests. Required.
 	Front string `yaml:"front"`
-	// Ready answers whether this gateway takes requests. Required.
+	// Ready serves the readiness check of this gateway. Required.
 	Ready string `yaml:"ready"`
-	// Directory answers where callers may connect. Required.
+	// Directory tells callers which gateways they may connect to. Required.
 	Directory string `yaml:"directory"`
-	// Peers takes heartbeats (UDP) and links (TCP) of other gateways. Required.
+	// Peers accepts heartbeats (UDP) and links (TCP) from other gateways. Required.
 	Peers string `yaml:"peers"`
 	// Metrics serves counters and histograms as text. Default none.
 	Metrics string `yaml:"metrics"`
 }
 
-// FollowSettings tell how the store is followed.
+// FollowSettings set how the store is followed.
 type FollowSettings struct {
-	// Within is the time within which a published change has to be in force; the
-	// longer, the fewer calls to the store. From 500ms to 1m, default 2s.
+	// Within is the time within which a published change has to be in force. A longer time
+	// means fewer calls to the store. From 500ms to 1m, default 2s.
 	Within time.Duration `yaml:"within"`
-	// Evacuation is the same for the evacuation of an availability zone: the shorter one
-	// counts for all. From 500ms to 1m, default as within.
+	// Evacuation is the same for the evacuation of an availability zone. The shorter of the
+	// two times applies to every change. From 500ms to 1m, default as within.
 	Evacuation time.Duration `yaml:"evacuation"`
-	// Heartbeat is how often backend servers renew their entries in the store, which removes
-	// one after three missed heartbeats. From 10ms to 10m, default 1.2s.
+	// Heartbeat is the interval at which backend servers renew their entries in the store.
+	// The store removes an entry after three missed heartbeats. From 10ms to 10m, default
+	// 1.2s.
 	Heartbeat time.Duration `yaml:"heartbeat"`
 }
 
-// leaseMargin is how much later than after three heartbeats an entry may be removed.
+// leaseMargin is the extra time, beyond three heartbeats, that the store may take to remove
+// an entry.
 const leaseMargin = 400 * time.Millisecond
 
-// soonest returns the time within which any published change has to be in force.
-func (f FollowSettings) soonest() time.Duration { return min(f.Within, f.Evacuation) }
+// minPropagation returns the time within which any published change has to be in force.
+func (f FollowSettings) minPropagation() time.Duration { return min(f.Within, f.Evacuation) }
 
-// lease returns for how long the store lists an entry whose writer has ended.
+// lease returns how long the store keeps listing an entry whose writer has ended.
 func (f FollowSettings) lease() time.Duration { return 3*f.Heartbeat + leaseMargin }
 
-// MachineSettings tell what the VM may use.
+// MachineSettings describe the CPU resources of the VM.
 type MachineSettings struct {
-	// CPUShare is the part of the time for which a core runs the process. From 0 to 1,
+	// CPUShare is the fraction of the time for which a core runs the process. From 0 to 1,
 	// default 0: not known.
 	CPUShare float64 `yaml:"cpu_share"`
-	// Cores is how many cores' work is done then. From 0 to 1024, default 1.
+	// Cores is the number of cores that work during that time. From 0 to 1024, default 1.
 	Cores float64 `yaml:"cores"`
 }
 
-// millicores returns the processor time, in thousandths of a core, 0 = not known.
+// millicores returns the available CPU time in thousandths of a core, or 0 if it is not
+// known.
 func (m MachineSettings) millicores() uint32 { return uint32(1000 * m.CPUShare * m.Cores) }
 
-// EntriesSettings tell what callers learn about where to connect.
+// EntriesSettings set what the directory tells callers about where to connect.
 type EntriesSettings struct {
-	// TTL is how long a caller keeps the addresses. From 1s to 1h, default 2s:
-	// a VM that leaves goes on serving for longer.
+	// TTL is how long a caller keeps the addresses. From 1s to 1h, default 2s. A VM that
+	// leaves keeps serving for longer than that.
 	TTL time.Duration `yaml:"ttl"`
-	// Most bounds the addresses in one answer. From 1 to 1000, default 64.
-	Most int `yaml:"most"`
+	// MaxAddresses is the largest number of addresses in one answer. From 1 to 1000,
+	// default 64.
+	MaxAddresses int `yaml:"most"`
 }
 
-// RetrySettings bound retries: in any window, ratio times the requests plus
-// slack, over all gateways.
+// RetrySettings bound retries over all gateways: within any window, to ratio times the
+// number of requests plus slack.
 type RetrySettings struct {
 	// Ratio is from 0 to 10, default 0.2.
 	Ratio float64 `yaml:"ratio"`
@@ -105,22 +109,22 @@
 	Window time.Duration `yaml:"window"`
 }
 
-// DrainSettings tell how the process leaves.
+// DrainSettings set how the process shuts down.
 type DrainSettings struct {
-	// Grace is when the platform kills a process that was told to stop. From
-	// 1s to 24h, default 8s.
+	// Grace is the time after which the platform kills a process that was told to stop.
+	// From 1s to 24h, default 8s.
 	Grace time.Duration `yaml:"grace"`
 }
 
 const (
-	defaultWithin      = 2 * time.Second
-	defaultHeartbeat   = 1200 * time.Millisecond
-	defaultTTL         = 2 * time.Second
-	defaultMost        = 64
-	defaultRetryRatio  = 0.2
-	defaultRetrySlack  = 20
-	defaultRetryWindow = 10 * time.Second
-	defaultGrace       = 8 * time.Second
+	defaultWithin       = 2 * time.Second
+	defaultHeartbeat    = 1200 * time.Millisecond
+	defaultTTL          = 2 * time.Second
+	defaultMaxAddresses = 64
+	defaultRetryRatio   = 0.2
+	defaultRetrySlack   = 20
+	defaultRetryWindow  = 10 * time.Second
+	defaultGrace        = 8 * time.Second
 )
 
 // Provision fills in the defaults.
@@ -130,7 +134,7 @@
 	s.Follow.Heartbeat = settings.Or(s.Follow.Heartbeat, defaultHeartbeat)
 	s.Machine.Cores = settings.Or(s.Machine.Cores, 1)
 	s.Entries.TTL = settings.Or(s.Entries.TTL, defaultTTL)
-	s.Entries.Most = settings.Or(s.Entries.Most, defaultMost)
+	s.Entries.MaxAddresses = settings.Or(s.Entries.MaxAddresses, defaultMaxAddresses)
 	s.Retry.Ratio = settings.Or(s.Retry.Ratio, defaultRetryRatio)
 	s.Retry.Slack = settings.Or(s.Retry.Slack, defaultRetrySlack)
 	s.Retry.Window = settings.Or(s.Retry.Window, defaultRetryWindow)
@@ -138,7 +142,7 @@
 	s.LogLevel = settings.Or(s.LogLevel, "info")
 }
 
-// Validate fills in the defaults and returns every wrong value.
+// Validate fills in the defaults and returns every invalid value.
 func (s *Settings) Validate() []settings.Problem {
 	s.Provision()
 	var c settings.Checks
@@ -161,7 +165,7 @@
 	c.Float("machine.cpu_share", s.Machine.CPUShare, 0, 1)
 	c.Float("machine.cores", s.Machine.Cores, 0, 1024)
 	c.Duration("entries.ttl", s.Entries.TTL, time.Second, time.Hour)
-	c.Int("entries.most", s.Entries.Most, 1, 1000)
+	c.Int("entries.most", s.Entries.MaxAddresses, 1, 1000)
 	c.Float("retry.ratio", s.Retry.Ratio, 0, 10)
 	c.Float("retry.slack", s.Retry.Slack, 0, 100_000)
 	c.Duration("retry.window", s.Retry.Window, time.Second, time.Hour)
--- a/entry/gateway/settings_test.go
+++ b/entry/gateway/settings_test.go
@@ -24,7 +24,7 @@
 		{"bad ratio", "retry: {ratio: 11}", "retry.ratio"},
 		{"short evacuation", "follow: {evacuation: 1ms}", "follow.evacuation"},
 		{"short grace", "drain: {grace: 1ms}", "drain.grace"},
-		{"two on one address", `listen: {front: "127.0.0.1:1", ready: "127.0.0.1:1", directory: "127.0.0.1:3", peers: "127.0.0.1:4"}`, "listen.ready"},
+		{"duplicate address", `listen: {front: "127.0.0.1:1", ready: "127.0.0.1:1", directory: "127.0.0.1:3", peers: "127.0.0.1:4"}`, "listen.ready"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -37,8 +37,7 @@
 	}
 }
 
-// replaceField puts a line in place of the one with the same field, or at the
-// end.
+// replaceField replaces the line with the same field, or appends the given one.
 func replaceField(text, line string) string {
 	field, _, _ := strings.Cut(line, ":")
 	var out []string
--- a/entry/gateway/state.go
+++ b/entry/gateway/state.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// packFrom is the size of a value, in bytes, from which it is sent compressed.
-	packFrom = 4 << 10
-	// maxUnpacked bounds a value, in bytes: stores hold a megabyte.
-	maxUnpacked = 4 << 20
+	// minPackedSize is the size of a value, in bytes, from which it is sent compressed.
+	minPackedSize = 4 << 10
+	// maxUnpackedSize bounds the decompressed size of a value, in bytes. Stores hold up to
+	// a megabyte.
+	maxUnpackedSize = 4 << 20
 )
 
-// errState means that a state from another gateway is not usable.
-var errState = eris.New("gateway: state not understood")
+// errState means that a state from another gateway could not be decoded.
+var errState = eris.New("gateway: cannot decode state")
 
-// packer turns states into messages. It keeps what it has compressed, as many gateways
-// ask for the same configuration. It is safe for concurrent use.
+// packer encodes states as messages. It caches compressed values, as many gateways request
+// the same configuration. It is safe for concurrent use.
 type packer struct {
-	mu   sync.Mutex
-	kept map[string]packedValue // by key
+	mu    sync.Mutex
+	cache map[string]packedValue // by key
 }
 
 type packedValue struct {
@@ -62,31 +63,31 @@
 
 func (p *packer) item(i source.Item) *wire.SourceItem {
 	out := &wire.SourceItem{Key: i.Key, Value: i.Value, Era: i.Era, Revision: i.Revision}
-	if len(i.Value) >= packFrom {
+	if len(i.Value) >= minPackedSize {
 		out.Value, out.Packed = p.pack(i), true
 	}
 	return out
 }
 
-// pack returns the compressed value. A configuration of 1,400 routes shrinks to a
-// twelfth.
+// pack returns the compressed value. A configuration of 1,400 routes shrinks to a twelfth
+// of its size.
 func (p *packer) pack(i source.Item) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if k, ok := p.kept[i.Key]; ok && k.at == i.Position {
+	if k, ok := p.cache[i.Key]; ok && k.at == i.Position {
 		return k.value
 	}
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
-		panic(err) // the level is valid
+		panic(err) // not reached: the level is valid
 	}
 	_, _ = w.Write(i.Value) // to memory
 	_ = w.Close()           // to memory
-	if p.kept == nil {
-		p.kept = make(map[string]packedValue)
+	if p.cache == nil {
+		p.cache = make(map[string]packedValue)
 	}
-	p.kept[i.Key] = packedValue{i.Position, out.Bytes()}
+	p.cache[i.Key] = packedValue{i.Position, out.Bytes()}
 	return out.Bytes()
 }
 
@@ -137,7 +138,7 @@
 	if !w.GetPacked() {
 		return out, nil
 	}
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(w.GetValue())), maxUnpacked))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(w.GetValue())), maxUnpackedSize))
 	if err != nil {
 		return source.Item{}, eris.Wrapf(errState, "%s: %v", w.GetKey(), err)
 	}
--- a/entry/gateway/state_test.go
+++ b/entry/gateway/state_test.go
@@ -15,7 +15,7 @@
 	"baywall.example/entry/catalog"
 )
 
-// manyRoutes looks like a configuration of many routes.
+// manyRoutes returns text that resembles a configuration of n routes.
 func manyRoutes(n int) []byte {
 	var out strings.Builder
 	for i := range n {
@@ -24,7 +24,7 @@
 	return []byte(out.String())
 }
 
-func TestStatesComeBackAsTheyWereSent(t *testing.T) {
+func TestStateRoundTrip(t *testing.T) {
 	is := is.New(t)
 	large := source.Item{Key: "config", Value: manyRoutes(1400), Position: at(9)}
 	small := source.Item{Key: "server", Value: []byte("{}"), Position: at(8)}
@@ -45,7 +45,7 @@
 	is.Equal(got, events)
 }
 
-func TestACompressedValueIsOfItsRevision(t *testing.T) {
+func TestCompressionCacheIsKeyedByRevision(t *testing.T) {
 	is := is.New(t)
 	var p packer
 	first := source.Item{Key: "config", Value: manyRoutes(100), Position: at(1)}
@@ -57,27 +57,27 @@
 	}
 }
 
-func TestABrokenValueIsRefused(t *testing.T) {
+func TestCorruptCompressedValueIsRejected(t *testing.T) {
 	is := is.New(t)
 	_, err := stateFromWire(&wire.SourceReply{Items: []*wire.SourceItem{{Key: "a", Value: []byte("no flate"), Packed: true}}}, time.Now())
 	is.True(err != nil)
 }
 
-// Entries that cannot be read name no backend server, and the others hold. Each is
-// logged and counted once, however often the list is read.
-func TestOneEntryThatCannotBeReadLeavesTheOthersAlone(t *testing.T) {
+// Entries that cannot be decoded name no backend server and leave the other entries in
+// force. Each is logged and counted once, however often the list is read.
+func TestUnreadableEntryIsSkippedAndCountedOnce(t *testing.T) {
 	is := is.New(t)
-	w := &world{}
+	w := &testGateway{}
 	good := item(t, "backends/a", balance.Info{ID: "a", Service: "s", Address: "127.0.0.1:1", Slots: 4})
 	bad := source.Item{Key: "backends/b", Value: []byte{0, 0xff}, Position: at(3)}
 	w.run(t, fixedStore{item(t, "catalog", catalog.Content{Version: 1, Routes: routes()}), good, bad})
 	is.Equal(w.gateway.registry.Load("s", time.Now()).Servers, 1)
 	is.Equal(w.gateway.inst.entriesRefused.Get(), uint64(1))
 	update := source.Update{Items: map[string]source.Item{good.Key: good, bad.Key: bad}, Position: at(4)}
-	w.gateway.takeBackends(update)
+	w.gateway.applyBackends(update)
 	is.Equal(w.gateway.inst.entriesRefused.Get(), uint64(1))
 	bad.Position = at(5)
 	update.Items[bad.Key] = bad
-	w.gateway.takeBackends(update)
+	w.gateway.applyBackends(update)
 	is.Equal(w.gateway.inst.entriesRefused.Get(), uint64(2))
 }
--- a/entry/gateway/stream.go
+++ b/entry/gateway/stream.go
@@ -13,13 +13,13 @@
 	"baywall.example/entry/upstream"
 )
 
-// streamState is what the caller has seen of its answer so far, over all
+// streamState is the part of the answer that the caller has received so far, over all
 // attempts.
 type streamState struct {
-	begun  bool   // the head was sent
-	lastID string // id of the last event sent
-	// onEvent is told of the first event of an attempt.
-	onEvent func()
+	headerSent bool   // the response header was sent
+	lastID     string // id of the last event sent
+	// onFirstEvent is called for the first event of an attempt.
+	onFirstEvent func()
 }
 
 const (
@@ -31,7 +31,7 @@
 
 var errEvent = errors.New("event too large")
 
-// event is one event of a text/event-stream, its blank line included.
+// event is one event of a text/event-stream, including its terminating blank line.
 type event struct {
 	raw []byte
 	id  string
@@ -47,8 +47,8 @@
 	return &eventReader{in: bufio.NewReaderSize(in, eventBuffer)}
 }
 
-// next returns the next whole event. io.EOF means that the stream ended between
-// two events, io.ErrUnexpectedEOF that it ended within one.
+// next returns the next complete event. io.EOF means that the stream ended between two
+// events, io.ErrUnexpectedEOF that it ended within one.
 func (r *eventReader) next() (event, error) {
 	r.buf = r.buf[:0]
 	var id string
@@ -77,14 +77,14 @@
 	}
 }
 
-// more reports whether part of another event was read already.
-func (r *eventReader) more() bool { return r.in.Buffered() > 0 }
+// buffered reports whether part of another event has already been read.
+func (r *eventReader) buffered() bool { return r.in.Buffered() > 0 }
 
-// forwardStream passes on a stream, whole event by whole event.
+// forwardStream forwards a stream to the caller, one complete event at a time.
 func (q *request) forwardStream(ctx context.Context, answer *upstream.Answer, server *balance.Server, s *streamState) attempt {
 	events := newEventReader(answer.Body)
 	last := clock.Now()
-	first := true // of this attempt
+	first := true // the next event is the first of this attempt
 	flusher := http.NewResponseController(q.w)
 	for {
 		e, err := events.next()
@@ -97,10 +97,10 @@
 		if ctx.Err() != nil {
 			return brokenStream(s, ctx.Err())
 		}
-		if !s.begun {
-			s.begun = true
+		if !s.headerSent {
+			s.headerSent = true
 			q.firstAnswer = clock.Since(q.began)
-			q.copyHead(answer.Header)
+			q.copyHeader(answer.Header)
 			q.w.WriteHeader(answer.Status)
 		} else if q.events > 0 {
 			q.longestGap = max(q.longestGap, clock.Since(last))
@@ -108,7 +108,7 @@
 		now := clock.Now()
 		if first {
 			first = false
-			s.onEvent()
+			s.onFirstEvent()
 			server.Pace.Begun(now)
 			defer server.Pace.Ended()
 		} else {
@@ -120,13 +120,13 @@
 			s.lastID = e.id
 		}
 		if _, err := q.w.Write(e.raw); err != nil {
-			return attempt{verdict: verdictLeft, err: err}
+			return attempt{verdict: verdictCallerLeft, err: err}
 		}
-		if events.more() {
+		if events.buffered() {
 			continue
 		}
 		if err := flusher.Flush(); err != nil {
-			return attempt{verdict: verdictLeft, err: err}
+			return attempt{verdict: verdictCallerLeft, err: err}
 		}
 		if q.move(server, s) {
 			return attempt{verdict: verdictMoved}
@@ -134,23 +134,23 @@
 	}
 }
 
-// move chooses another server for a stream whose rank has become slow, and reports
-// whether it goes on there. All ranks of a group wait for the slow one, as long as it
-// has anything to do.
+// move picks another server for a stream whose rank has become slow, and reports whether
+// the stream is resumed there. All ranks of a group wait for the slow one as long as it has
+// any work.
 func (q *request) move(from *balance.Server, s *streamState) bool {
 	if s.lastID == "" || !q.route.Idempotent() || !q.g.registry.Spared(from) {
 		return false
 	}
 	now := clock.Now()
 	d := q.demand(now)
-	d.HoldAt, d.MostWait, d.Late = 0, freeSlot, false // it leaves a place of the same group
-	d.Unlimited = true                                // it is served where it is
-	d.Avoid = q.avoids(now)
+	d.HoldAt, d.MostWait, d.Late = 0, freeSlotWait, false // the stream frees a slot of the same group
+	d.Unlimited = true                                    // it is being served already, so it takes no permit of a server with a limit
+	d.Avoid = q.avoidedServers(now)
 	choice, found := q.g.registry.Pick(d, now)
 	if found != balance.Available {
 		return false
 	}
-	if !q.sequence.Leave(now) || !q.charge() {
+	if !q.sequence.Leave(now) || !q.chargeRetry() {
 		choice.Release()
 		return false
 	}
@@ -160,20 +160,20 @@
 	return true
 }
 
-// endStream ends a stream that the backend server ended. One without an event
-// is passed on as it is.
+// endStream ends a stream that the backend server ended. A stream without any event is
+// passed on as it is.
 func (q *request) endStream(answer *upstream.Answer, s *streamState) attempt {
-	if !s.begun {
-		s.begun = true
+	if !s.headerSent {
+		s.headerSent = true
 		q.firstAnswer = clock.Since(q.began)
-		q.copyHead(answer.Header)
+		q.copyHeader(answer.Header)
 		q.w.WriteHeader(answer.Status)
 	}
 	return attempt{verdict: verdictAnswered}
 }
 
 func brokenStream(s *streamState, err error) attempt {
-	if s.begun {
+	if s.headerSent {
 		return attempt{verdict: verdictCut, err: err}
 	}
 	return attempt{verdict: verdictLost, err: err}
--- a/entry/gateway/stream_test.go
+++ b/entry/gateway/stream_test.go
@@ -13,9 +13,9 @@
 	"baywall.example/entry/retry"
 )
 
-// A stream that is moved has run. If its new server is full for a moment, it waits as
-// long as its caller does, rather than being aborted as late.
-func TestAMovedStreamWaitsAsLongAsItsCaller(t *testing.T) {
+// A stream that is moved has run. If its new server is full for a moment, the stream waits
+// until its caller gives up rather than being aborted as late.
+func TestMovedStreamWaitsUntilCallerGivesUp(t *testing.T) {
 	is := is.New(t)
 	agent, err := cluster.NewNode(freeAddress(t), nil, 0, func() cluster.Self { return cluster.Self{} }, zerolog.Nop())
 	is.NoErr(err)
@@ -28,24 +28,24 @@
 		g: w.gateway, ctx: t.Context(), service: "s", route: stream, began: began, deadline: began.Add(8 * time.Second),
 		excluded: make(map[string]bool),
 	}
-	q.budget.share = w.gateway.share("s")
-	q.budget.share.Request()
+	q.budget.retryShare = w.gateway.retryShare("s")
+	q.budget.retryShare.Request()
 	q.sequence = retry.Sequence{Idempotent: true, Deadline: q.deadline, Budget: &q.budget, MaxRuns: 2}
 	q.sequence.Begin()
 	from, found := w.gateway.registry.Pick(balance.Demand{Service: "s"}, time.Now())
 	is.Equal(found, balance.Available)
-	is.True(!q.move(from.Server, &streamState{lastID: "3"})) // its rank is as usual
+	is.True(!q.move(from.Server, &streamState{lastID: "3"})) // its rank runs at normal speed
 	agent.TellPace([]string{w.gateway.settings.Listen.Peers}, cluster.Pace{Engine: from.Server.Address, Pace: 3})
 	for until := time.Now().Add(time.Second); !w.gateway.registry.Spared(from.Server) && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
-	q.state, q.lastEvent = w.gateway.stateOf("s"), time.Now()
+	q.state, q.lastEvent = w.gateway.serviceStateOf("s"), time.Now()
 	for range 100 {
-		q.state.queue(1, false) // many wait already
+		q.state.adjustWaiting(1, false) // many requests wait already
 	}
-	is.True(!q.mayWait(q.wants(time.Now()), time.Now()))
+	is.True(!q.mayWait(q.admissionRequest(time.Now()), time.Now()))
 	is.True(q.move(from.Server, &streamState{lastID: "3"}))
 	is.True(q.moveTo.Server != from.Server)
-	is.True(q.mayWait(q.wants(time.Now()), time.Now()))
-	is.True(q.wants(time.Now()).PlacesBefore() > time.Second)
+	is.True(q.mayWait(q.admissionRequest(time.Now()), time.Now()))
+	is.True(q.admissionRequest(time.Now()).PlacesBefore() > time.Second)
 }
--- a/entry/gateway/suspended_test.go
+++ b/entry/gateway/suspended_test.go
@@ -12,31 +12,32 @@
 	"baywall.example/core/clock"
 )
 
-// suspendedFirst answers each first attempt by a suspension of the gateway's machine and a
-// reset, every later one well.
+// suspendedFirst simulates a suspension of the gateway's machine and resets the connection
+// on the first attempt, and answers every later attempt.
 func suspendedFirst(t *testing.T, suspended time.Duration, left *int) func(n int, w http.ResponseWriter, r *http.Request) {
-	t.Cleanup(func() { clock.Suspend(-suspended) }) // other tests begin as if it had not been
+	t.Cleanup(func() { clock.Suspend(-suspended) }) // undoes the suspension for other tests
 	return func(n int, w http.ResponseWriter, r *http.Request) {
 		*left, _ = strconv.Atoi(r.Header.Get("T-Deadline"))
 		if n == 1 {
 			clock.Suspend(suspended)
-			reset(w)
+			resetConnection(w)
 			return
 		}
 		_, _ = io.WriteString(w, "answer")
 	}
 }
 
-// A machine was suspended while a backend server had its request. The second server was
-// given the three seconds that the caller had at first, as the steady clock stood still,
-// and got the request even if none was left.
+// Guards against ignoring the time spent suspended. The gateway's machine was suspended
+// while a backend server had a request. The next server was given the three seconds that
+// the caller had allowed at first, as the monotonic clock stood still during the
+// suspension, and it got the request even if no time was left.
 func TestRequestsAfterASuspension(t *testing.T) {
 	cases := []struct {
 		name      string
 		suspended time.Duration
 		status    int
 		runs      int32
-		left      int // most ms that the latest server is told
+		left      int // largest deadline, in ms, that the latest server may be given
 	}{
 		{"time is left", 2 * time.Second, http.StatusOK, 2, 1000},
 		{"none is left", 4 * time.Second, http.StatusBadGateway, 1, 3000},
--- a/entry/gateway/turn.go
+++ b/entry/gateway/turn.go
@@ -8,24 +8,25 @@
 	"baywall.example/entry/balance"
 )
 
-// A request for which all servers are at their limits, or rest, waits in a line for its turn, or is
-// refused and comes back in its turn. Package admission decides which.
+// If all servers are at their limits or in backoff, a request waits in a queue for its
+// slot, or it is refused and its caller retries when a slot is expected. Package admission
+// decides which.
 
-// place returns the request's place among those that wait for a permit.
-func (q *request) place(now time.Time) *admission.Place {
-	wait := q.wants(now).PermitWait()
+// newQueueEntry returns the entry with which the request joins the permit queue.
+func (q *request) newQueueEntry(now time.Time) *admission.Place {
+	wait := q.admissionRequest(now).PermitWait()
 	return &admission.Place{Again: q.sequence.Attempts() > 0, Priority: q.priority, Until: now.Add(wait)}
 }
 
-// passed returns why the request may not look for a server now, as others that are more urgent
-// wait for as many as may take one: balance.Limited or balance.Resting; balance.Available if it
-// may.
-func (q *request) passed(now time.Time) balance.Availability {
+// queueAvailability returns why the request may not look for a server now, because as many
+// more urgent requests wait as servers can take one: balance.Limited or balance.Resting. It
+// returns balance.Available if the request may look.
+func (q *request) queueAvailability(now time.Time) balance.Availability {
 	s := q.state
-	if q.line == nil && !s.hasLine() {
+	if q.permitWait == nil && !s.hasPermitQueue() {
 		return balance.Available
 	}
-	ahead := s.aheadInLine(q.linePlace(now))
+	ahead := s.aheadInQueue(q.queueEntryOrNew(now))
 	if ahead == 0 {
 		return balance.Available
 	}
@@ -40,103 +41,109 @@
 	}
 }
 
-// linePlace returns the place in the line, or the one that the request would have.
-func (q *request) linePlace(now time.Time) *admission.Place {
-	if q.line != nil {
-		return q.line
+// queueEntryOrNew returns the request's entry in the permit queue, or the one it would join
+// with.
+func (q *request) queueEntryOrNew(now time.Time) *admission.Place {
+	if q.permitWait != nil {
+		return q.permitWait
 	}
-	return q.place(now)
+	return q.newQueueEntry(now)
 }
 
-// turn returns when the request can expect that a server which is at its limit or rests takes it.
-func (q *request) turn(now time.Time) admission.Turn {
+// queueEstimate returns when the request can expect to be accepted by a server that is at
+// its limit or in backoff.
+func (q *request) queueEstimate(now time.Time) admission.Turn {
 	p := q.g.registry.Permits(q.service, now)
-	gap := longestPermitGap
+	gap := maxPermitGap
 	if p.PerSecond > 0 {
 		gap = min(gap, time.Duration(float64(q.g.node.Members())/p.PerSecond*float64(time.Second)))
 	}
-	ahead := q.state.aheadInLine(q.linePlace(now))
+	ahead := q.state.aheadInQueue(q.queueEntryOrNew(now))
 	return admission.Turn{Next: p.Next, Queue: time.Duration(ahead) * gap, Gap: gap}
 }
 
-// longestPermitGap bounds the time between two permits, far beyond any that is waited.
-const longestPermitGap = time.Minute
+// maxPermitGap bounds the estimated time between two permits, far beyond any wait that
+// occurs.
+const maxPermitGap = time.Minute
 
-// mayWaitForPermit reports whether the request waits until a server that is at its limit takes
-// another one. One that may have run does, as nothing true can be said of it before.
-func (q *request) mayWaitForPermit(wants admission.Request, now time.Time) bool {
+// mayWaitForPermit reports whether the request waits until a server that is at its limit
+// accepts another request. A request that may have run does wait, as no definite outcome
+// can be reported before.
+func (q *request) mayWaitForPermit(admissionRequest admission.Request, now time.Time) bool {
 	if q.sequence.MayHaveRun() {
-		return wants.Urgency() != admission.Hopeless
+		return admissionRequest.Urgency() != admission.Hopeless
 	}
-	if q.line != nil {
-		return now.Before(q.turnBy) && wants.Urgency() == admission.Punctual
+	if q.permitWait != nil {
+		return now.Before(q.queueUntil) && admissionRequest.Urgency() == admission.Punctual
 	}
-	return admission.MayWaitForPermit(wants, q.turn(now))
+	return admission.MayWaitForPermit(admissionRequest, q.queueEstimate(now))
 }
 
-// mayWaitForRest reports whether the request waits until a server's rest is over.
-func (q *request) mayWaitForRest(wants admission.Request, now time.Time) bool {
-	if q.line != nil {
-		return now.Before(q.turnBy) && admission.MayStayForRest(wants, q.turn(now))
+// mayWaitForBackoff reports whether the request waits for the end of a server's backoff.
+func (q *request) mayWaitForBackoff(admissionRequest admission.Request, now time.Time) bool {
+	if q.permitWait != nil {
+		return now.Before(q.queueUntil) && admission.MayStayForRest(admissionRequest, q.queueEstimate(now))
 	}
-	return admission.MayWaitForRest(wants, q.turn(now))
+	return admission.MayWaitForRest(admissionRequest, q.queueEstimate(now))
 }
 
-// comeBackForPermit returns for how long a caller stays away for which there was no permit, and
-// comeBackAfterRest the same where all servers rest.
-func (q *request) comeBackForPermit(now time.Time) time.Duration {
-	turn := q.turn(now)
+// permitRetryAfter returns the time after which a caller that got no permit may retry.
+func (q *request) permitRetryAfter(now time.Time) time.Duration {
+	queueEstimate := q.queueEstimate(now)
 	s := q.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.permits.Pause(turn, rand.Float64(), now)
+	return s.permitPacer.Pause(queueEstimate, rand.Float64(), now)
 }
 
-func (q *request) comeBackAfterRest(now time.Time) time.Duration {
-	turn := q.turn(now)
+// backoffRetryAfter returns the time after which a caller may retry while all servers are in
+// backoff.
+func (q *request) backoffRetryAfter(now time.Time) time.Duration {
+	queueEstimate := q.queueEstimate(now)
 	s := q.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.permits.PauseAfterRest(turn, rand.Float64(), now)
+	return s.permitPacer.PauseAfterRest(queueEstimate, rand.Float64(), now)
 }
 
-// hasLine reports whether requests wait for a permit.
-func (s *serviceState) hasLine() bool {
+// hasPermitQueue reports whether requests wait for a permit.
+func (s *serviceState) hasPermitQueue() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.line.Empty()
+	return !s.permitWait.Empty()
 }
 
-// aheadInLine returns how many requests go before one that waits for a permit.
-func (s *serviceState) aheadInLine(p *admission.Place) int {
+// aheadInQueue returns the number of requests that go before the given one in the permit
+// queue.
+func (s *serviceState) aheadInQueue(p *admission.Place) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.line.Ahead(p)
+	return s.permitWait.Ahead(p)
 }
 
-// joinLine lets the request wait for a permit, or for the end of a rest.
-func (q *request) joinLine(found balance.Availability, now time.Time) {
-	if q.line != nil {
+// joinPermitQueue adds the request to the queue for a permit, or for the end of a backoff.
+func (q *request) joinPermitQueue(found balance.Availability, now time.Time) {
+	if q.permitWait != nil {
 		return
 	}
-	by := q.turn(now).PermitBy()
+	by := q.queueEstimate(now).PermitBy()
 	if found == balance.Resting {
-		by = q.turn(now).RestBy()
+		by = q.queueEstimate(now).RestBy()
 	}
-	q.turnBy = now.Add(by)
-	q.line = q.place(now)
+	q.queueUntil = now.Add(by)
+	q.permitWait = q.newQueueEntry(now)
 	q.state.mu.Lock()
 	defer q.state.mu.Unlock()
-	q.state.line.Join(q.line)
+	q.state.permitWait.Join(q.permitWait)
 }
 
-// leaveLine ends that, if it waits, in the line of a service.
-func (q *request) leaveLine(s *serviceState) {
-	if q.line == nil {
+// leavePermitQueue removes the request from the permit queue of a service if it waits there.
+func (q *request) leavePermitQueue(s *serviceState) {
+	if q.permitWait == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.line.Leave(q.line)
-	q.line = nil
+	s.permitWait.Leave(q.permitWait)
+	q.permitWait = nil
 }
