--- a/agent/engine/ended.go
+++ b/agent/engine/ended.go
@@ -11,11 +11,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// EndedError means that the backend server's process ended before a whole answer came:
-// its host refused a new connection just afterwards.
+// EndedError means that the backend server's process ended before it sent a complete
+// answer: its host refused a new connection right afterwards.
 type EndedError struct {
-	// Number counts the ends that this client has seen, from 1. All requests that were
-	// under way have the same one.
+	// Number counts the ends of the process that this client has detected, from 1. All
+	// requests that were in flight at one end get the same number.
 	Number uint64
 	Cause  error
 }
@@ -23,21 +23,23 @@
 // Error implements error.
 func (e *EndedError) Error() string { return "engine: ended: " + e.Cause.Error() }
 
-// Unwrap returns ErrFailed: no whole answer came.
+// Unwrap returns ErrFailed: there was no complete answer.
 func (e *EndedError) Unwrap() error { return ErrFailed }
 
-// livenessTimeout bounds the look whether the process has ended: it is on the same VM.
-const livenessTimeout = 200 * time.Millisecond
+// probeTimeout bounds the connection attempt that tells whether the process has ended. It
+// is short because the process is on the same VM.
+const probeTimeout = 200 * time.Millisecond
 
-// ends counts the ends of the process. It is safe for concurrent use.
-type ends struct {
+// endCounter counts the ends of the backend server's process. It is safe for concurrent
+// use.
+type endCounter struct {
 	mu    sync.Mutex
 	count uint64
 	down  bool
 }
 
-// ended notes that the process has ended and returns the number of that end.
-func (e *ends) ended() uint64 {
+// markEnded records that the process has ended and returns the number of that end.
+func (e *endCounter) markEnded() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.down {
@@ -47,26 +49,26 @@
 	return e.count
 }
 
-// lives notes that the process answers.
-func (e *ends) lives() {
+// markRunning records that the process answers.
+func (e *endCounter) markRunning() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down = false
 }
 
-// Lost returns the error of a request that was handed over and whose answer broke off:
-// EndedError if the process has ended, ErrFailed otherwise.
-func (c *Client) Lost(ctx context.Context, cause error) error {
-	if ctx.Err() == nil && c.Refuses(ctx) {
-		return &EndedError{Number: c.ends.ended(), Cause: cause}
+// ClassifyFailure returns the error for a request that was handed over without a complete
+// answer: EndedError if the process has ended, ErrFailed otherwise.
+func (c *Client) ClassifyFailure(ctx context.Context, cause error) error {
+	if ctx.Err() == nil && c.RefusesConnections(ctx) {
+		return &EndedError{Number: c.endCounter.markEnded(), Cause: cause}
 	}
 	return eris.Wrapf(ErrFailed, "%v", cause)
 }
 
-// Refuses reports whether the backend server's host refuses connections, as its process has
-// ended.
-func (c *Client) Refuses(ctx context.Context) bool {
-	dialer := net.Dialer{Timeout: livenessTimeout}
+// RefusesConnections reports whether the backend server's host refuses connections, which
+// means that the process has ended.
+func (c *Client) RefusesConnections(ctx context.Context) bool {
+	dialer := net.Dialer{Timeout: probeTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", c.address)
 	if err == nil {
 		_ = conn.Close() // nothing was sent on it
--- a/agent/engine/engine.go
+++ b/agent/engine/engine.go
@@ -1,14 +1,14 @@
-// Package engine gives one backend server its requests and orders, over HTTP.
+// Package engine is the HTTP client that sends requests and orders to one backend server.
 //
-// A request is handed over exactly once per call of Do. The transport of the
-// standard library replays a request on its own when a reused connection dies
-// before an answer came, if it deems the request idempotent: a GET, or any one
-// that carries an Idempotency-Key. A non-idempotent request therefore gets a
-// connection of its own, which is never reused, so there is nothing to replay.
+// Each call of Do hands a request over exactly once. net/http's Transport retries a
+// request by itself when a reused connection fails before an answer arrives, if it
+// considers the request idempotent: a GET, or any request with an Idempotency-Key. A
+// non-idempotent request therefore gets its own connection, which is never reused, so
+// the transport does not retry it.
 //
-// A connection whose answer was not read to its end is closed, not reused, so
-// a late answer cannot reach another request. The server's echo of the request
-// id is checked where there is one.
+// A connection whose answer was not read to the end is closed instead of reused, so a
+// late answer cannot reach another request. If the backend server echoes the request id,
+// the echo is checked.
 package engine
 
 import (
@@ -30,14 +30,14 @@
 
 // Errors of the engine layer.
 var (
-	// ErrDial means that no connection was made: the request did not run.
+	// ErrDial means that no connection was established: the request did not run.
 	ErrDial = eris.New("engine: unreachable")
 	// ErrFailed means that the request was, or may have been, handed over and
-	// no whole answer came.
+	// there was no complete answer.
 	ErrFailed = eris.New("engine: failed")
-	// ErrCrossed means that the answer names another request.
-	ErrCrossed = eris.New("engine: answer to another request")
-	// ErrRefused means that the engine did not take an order.
+	// ErrWrongRequest means that the answer carries the id of another request.
+	ErrWrongRequest = eris.New("engine: answer to another request")
+	// ErrRefused means that the engine refused an order.
 	ErrRefused = eris.New("engine: order refused")
 )
 
@@ -47,36 +47,36 @@
 // HeaderPriority carries the team's priority to the backend server.
 const HeaderPriority = "X-Priority"
 
-// HeaderRateLimit names in an answer how many requests a second the backend server takes, a
-// decimal number, for as long as its answers say so.
+// HeaderRateLimit is set in an answer to the number of requests per second that the backend
+// server takes, as a decimal. It applies as long as its answers carry the header.
 const HeaderRateLimit = "X-Rate-Limit"
 
-// HeaderLeaving is in the answers of a backend server that leaves, a boolean.
+// HeaderLeaving is a boolean in the answers of a backend server that is shutting down.
 const HeaderLeaving = "X-Leaving"
 
-// noticeFields are the header fields in which a backend server speaks of itself.
+// noticeFields are the header fields that carry a backend server's notices.
 var noticeFields = notice.Fields{Limit: HeaderRateLimit, Leaving: HeaderLeaving}
 
-// ReadNotice reads what an answer says of the backend server. What cannot be read, as the error
-// tells, says nothing.
+// ReadNotice parses the notice in an answer. Header fields that cannot be parsed are left out of
+// the notice and reported in the error.
 func ReadNotice(resp *http.Response, now time.Time) (notice.Notice, error) {
 	return noticeFields.Read(resp.StatusCode, resp.Header, now)
 }
 
 const (
-	dialTimeout  = time.Second
-	orderTimeout = 2 * time.Second
-	maxIdle      = 256
-	maxReport    = 4 << 20
+	dialTimeout     = time.Second
+	exchangeTimeout = 2 * time.Second
+	maxIdle         = 256
+	maxReportSize   = 4 << 20
 )
 
 // Client talks to one backend server. It is safe for concurrent use.
 type Client struct {
-	base    string
-	address string
-	reuse   *http.Transport
-	once    *http.Transport
-	ends    ends
+	base       string
+	address    string
+	keepAlive  *http.Transport
+	singleUse  *http.Transport
+	endCounter endCounter
 }
 
 // New returns a client of the backend server at the address.
@@ -91,12 +91,12 @@
 	}
 	return &Client{
 		base: "http://" + address, address: address,
-		reuse: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdle, DisableCompression: true},
-		once:  &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true},
+		keepAlive: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdle, DisableCompression: true},
+		singleUse: &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true},
 	}
 }
 
-// Request is one request as the caller sent it.
+// Request is a request as the caller sent it.
 type Request struct {
 	ID         string
 	Method     string
@@ -107,8 +107,8 @@
 	Priority   int
 }
 
-// Do hands the request over and returns the answer, whose body the caller
-// closes. The error is ErrDial if the request provably did not run.
+// Do hands the request over and returns the answer. The caller closes its body. The
+// error is ErrDial if the request provably did not run.
 func (c *Client) Do(ctx context.Context, r Request) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, r.Method, c.base+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
@@ -119,60 +119,61 @@
 	}
 	req.Header.Set(HeaderRequestID, r.ID)
 	req.Header.Set(HeaderPriority, fmt.Sprint(r.Priority))
-	transport := c.reuse
+	transport := c.keepAlive
 	if !r.Idempotent {
-		transport = c.once
+		transport = c.singleUse
 	}
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		if errors.Is(err, ErrDial) {
 			return nil, eris.Wrapf(ErrDial, "%v", err)
 		}
-		return nil, c.Lost(ctx, err)
+		return nil, c.ClassifyFailure(ctx, err)
 	}
-	c.ends.lives()
+	c.endCounter.markRunning()
 	if echo := resp.Header.Get(HeaderRequestID); echo != "" && echo != r.ID {
 		resp.Body.Close()
-		return nil, eris.Wrapf(ErrCrossed, "asked %s, got %s", r.ID, echo)
+		return nil, eris.Wrapf(ErrWrongRequest, "sent %s, got %s", r.ID, echo)
 	}
 	return resp, nil
 }
 
-// Load is a backend server's own report, which lags behind.
+// Load is the load that a backend server reports. It lags behind the actual load.
 type Load struct {
 	Running int     `json:"running"`
 	Waiting int     `json:"waiting"`
 	Load    float64 `json:"load"` // 0 = idle, 1 = full
 }
 
-// Load reads the backend server's report.
+// Load reads the backend server's load.
 func (c *Client) Load(ctx context.Context) (Load, error) {
 	var l Load
 	return l, c.exchange(ctx, http.MethodGet, "/baywall/load", nil, &l)
 }
 
-// ExpertState is what an engine says about the expert maps it holds.
+// ExpertState is an engine's report of its expert maps.
 type ExpertState struct {
 	Fence    uint64    `json:"fence"`
-	Step     uint64    `json:"step"`     // the step it runs or will run next
+	Step     uint64    `json:"step"`     // the step that runs, or the next one
 	Active   uint64    `json:"active"`   // version of the map in use
-	Loaded   uint64    `json:"loaded"`   // version loaded beside it, 0 = none
-	Hold     uint64    `json:"hold"`     // step it will not begin, 0 = none
+	Loaded   uint64    `json:"loaded"`   // version loaded in addition, 0 = none
+	Hold     uint64    `json:"hold"`     // step that the engine must not begin, 0 = none
 	Activate uint64    `json:"activate"` // step at which Loaded becomes active
 	Counts   [][]int64 `json:"counts"`   // tokens by layer and expert since the last read
 	Speed    float64   `json:"speed"`    // measured, 1 = nominal
-	// Epoch numbers the formations of a group, in each of which all ranks begin
-	// with the initial map; 0 where the engine does not count them.
+	// Epoch is the number of the group's formation; all ranks begin each epoch with
+	// the initial map. 0 if the engine does not count epochs.
 	Epoch uint64 `json:"epoch"`
-	// Running is how many requests the rank has in its batch, 0 where the engine
-	// does not say.
+	// Running is the number of requests in the rank's batch, 0 if the engine does
+	// not report it.
 	Running   int       `json:"running"`
-	ActiveMap [][]int32 `json:"activemap"` // slots by layer, of all ranks or of this one
+	ActiveMap [][]int32 `json:"activemap"` // slots by layer, of all ranks or only this one
 	LoadedMap [][]int32 `json:"loadedmap"`
 }
 
-// Order tells an engine what to do about its expert map. Every order names a
-// fencing number, and a step where it has one, so that a late order is void.
+// Order is an order to an engine about its expert map. Each order carries a fencing
+// number, and a step if the kind needs one, so that an order that arrives late has no
+// effect.
 type Order struct {
 	Kind    OrderKind `json:"kind"`
 	Fence   uint64    `json:"fence"`
@@ -186,33 +187,33 @@
 
 // Kinds of orders.
 const (
-	OrderLoad     OrderKind = "load"     // load Map beside the active one
-	OrderHold     OrderKind = "hold"     // do not begin Step unless told
+	OrderLoad     OrderKind = "load"     // load Map in addition to the active one
+	OrderHold     OrderKind = "hold"     // do not begin Step until released
 	OrderActivate OrderKind = "activate" // use Version from Step on
-	OrderRelease  OrderKind = "release"  // begin Step after all
+	OrderRelease  OrderKind = "release"  // lift the hold of Step
 )
 
 // Experts reads the engine's expert state.
 func (c *Client) Experts(ctx context.Context) (ExpertState, error) { return c.Observe(ctx, false) }
 
-// Loaded reads the engine's expert state: an order to load experts is answered when
-// they are there.
+// Loaded reads the engine's expert state. It need not wait, because the engine answers an
+// order to load experts only once they are loaded.
 func (c *Client) Loaded(ctx context.Context, _ uint64) (ExpertState, error) { return c.Experts(ctx) }
 
-// Observe reads the engine's expert state; counts are included if asked for.
+// Observe reads the engine's expert state, with token counts if counts is true.
 func (c *Client) Observe(ctx context.Context, counts bool) (ExpertState, error) {
 	var s ExpertState
 	return s, c.exchange(ctx, http.MethodGet, fmt.Sprintf("/baywall/experts?counts=%t", counts), nil, &s)
 }
 
-// Order gives an order and returns the state after it.
+// Order sends an order and returns the state after it.
 func (c *Client) Order(ctx context.Context, o Order) (ExpertState, error) {
 	var s ExpertState
 	return s, c.exchange(ctx, http.MethodPost, "/baywall/experts", o, &s)
 }
 
 func (c *Client) exchange(ctx context.Context, method, path string, in, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	var body []byte
 	if in != nil {
@@ -226,12 +227,12 @@
 	if err != nil {
 		return eris.Wrapf(ErrFailed, "%s: %v", path, err)
 	}
-	resp, err := c.reuse.RoundTrip(req)
+	resp, err := c.keepAlive.RoundTrip(req)
 	if err != nil {
 		return eris.Wrapf(ErrFailed, "%s: %v", path, err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReport))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReportSize))
 	if err != nil {
 		return eris.Wrapf(ErrFailed, "%s: %v", path, err)
 	}
--- a/agent/engine/notice_test.go
+++ b/agent/engine/notice_test.go
@@ -11,7 +11,7 @@
 	"baywall.example/core/ratelimit"
 )
 
-func TestWhatAnAnswerSaysOfTheBackendServer(t *testing.T) {
+func TestReadNotice(t *testing.T) {
 	none := ratelimit.Said{Kind: ratelimit.SaidNone}
 	cases := []struct {
 		name   string
@@ -24,8 +24,8 @@
 		{"all at once", 503, http.Header{"X-Rate-Limit": {"2"}, "Retry-After": {"1.5"}, "X-Leaving": {"1"}}, notice.Notice{
 			Limit: ratelimit.Said{Kind: ratelimit.SaidLimit, Limit: 2}, Rest: 1500 * time.Millisecond, Leaving: true,
 		}, false},
-		{"an answer that ran asks for no rest", 200, http.Header{"Retry-After": {"2"}}, notice.Notice{Limit: none}, false},
-		{"one garbled, the others hold", 503, http.Header{"Retry-After": {"soon"}, "X-Leaving": {"1"}}, notice.Notice{Limit: none, Leaving: true}, true},
+		{"no backoff in a successful answer", 200, http.Header{"Retry-After": {"2"}}, notice.Notice{Limit: none}, false},
+		{"one malformed, the others apply", 503, http.Header{"Retry-After": {"soon"}, "X-Leaving": {"1"}}, notice.Notice{Limit: none, Leaving: true}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/agent/server/attempts.go
+++ b/agent/server/attempts.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	// resumeGrace is how long an idempotent attempt goes on without a reader.
+	// resumeGrace is how long an idempotent attempt keeps running without a reader.
 	resumeGrace = 10 * time.Second
-	// chunkSize is the largest piece of an answer in one message, in bytes.
+	// chunkSize is the maximum size of an answer chunk in one message, in bytes.
 	chunkSize = 32 << 10
-	// drainRetryAfter is when callers of a draining agent may come back.
+	// drainRetryAfter is the retry delay that a draining or overloaded agent returns.
 	drainRetryAfter = 100 * time.Millisecond
 )
 
-// serveAttempt decides on an attempt, runs it if it may run, and streams the
-// answer.
+// serveAttempt admits or refuses an attempt. An admitted attempt is run, or joined if it
+// already runs, and its answer is streamed.
 func (a *Server) serveAttempt(ctx context.Context, s *link.Stream, w *wire.Attempt) {
 	id := contract.AttemptID{Request: contract.RequestID(w.GetRequestId()), Number: w.GetNumber()}
 	now := time.Now()
@@ -56,12 +56,12 @@
 	}
 }
 
-// admit checks what must hold before an attempt is recorded. All refusals are
-// not-run: an attempt that carries a ticket is not refused here unless the
-// ticket cannot have been used, since an earlier presentation may have run.
+// admit runs the checks that precede recording an attempt and returns nil if they pass.
+// Every refusal from here has the outcome not-run. An attempt that carries a ticket is
+// never refused here, because an earlier presentation of the ticket may have run.
 func (a *Server) admit(w *wire.Attempt, now time.Time) *contract.Refusal {
 	if w.GetTicket() != nil {
-		return nil // the record knows, draining or not
+		return nil // the record decides, also while draining
 	}
 	deadline := time.UnixMilli(w.GetDeadlineUnixMs())
 	if now.After(deadline.Add(a.settings.Record.ClockSkew)) {
@@ -94,21 +94,21 @@
 	_ = s.SendReply(&wire.Reply{Body: &wire.Reply_Refusal{Refusal: out}})
 }
 
-// run hands the attempt over and streams its answer. It does not hand over if
-// the stream is known to have ended: an attempt that waited while this process
-// was paused, and was given up meanwhile, should not run. The end may be noticed
-// too late for that, so nobody may conclude "not-run" from it.
+// run hands the attempt over to the backend server and streams its answer. It does not
+// hand over if the stream is known to have ended: an attempt that waited while this
+// process was paused, and was abandoned meanwhile, should not run. The end of the stream
+// may be detected too late for that, so it does not prove "not-run".
 func (a *Server) run(ctx context.Context, s *link.Stream, at *record.Attempt, w *wire.Attempt) {
 	until := time.UnixMilli(w.GetDeadlineUnixMs()).Add(2 * a.settings.Record.ClockSkew)
 	if w.GetTicket() != nil && a.draining.Load() {
 		a.withdraw(s, at, w, until, drainRefusal(contract.ReasonDraining))
 		return
 	}
-	left := time.Until(time.UnixMilli(w.GetDeadlineUnixMs()))
-	engineCtx, cancel := clock.WithDeadline(context.Background(), clock.Now().Add(left))
+	remaining := time.Until(time.UnixMilli(w.GetDeadlineUnixMs()))
+	engineCtx, cancel := clock.WithDeadline(context.Background(), clock.Now().Add(remaining))
 	streamCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	a.follow(s, func(canceled bool) {
+	a.watchReader(s, func(canceled bool) {
 		stop()
 		if canceled && w.GetIdempotent() {
 			cancel()
@@ -119,7 +119,7 @@
 		a.withdraw(s, at, w, until, drainRefusal(contract.ReasonLinkLost))
 		return
 	}
-	if r := a.permit(); r != nil {
+	if r := a.checkBackend(); r != nil {
 		cancel()
 		a.withdraw(s, at, w, until, r)
 		return
@@ -150,10 +150,10 @@
 	if a.stream(streamCtx, s, at.ID, at, 0) {
 		return
 	}
-	a.abandon(at, cancel, w.GetIdempotent(), ended)
+	a.awaitResume(at, cancel, w.GetIdempotent(), ended)
 }
 
-// withdraw refuses an accepted attempt that was not handed over.
+// withdraw refuses an accepted attempt that was not handed over to the backend server.
 func (a *Server) withdraw(s *link.Stream, at *record.Attempt, w *wire.Attempt, until time.Time, r *contract.Refusal) {
 	a.table.Withdraw(at, until)
 	a.refuse(s, at.ID, r, w)
@@ -163,19 +163,19 @@
 	return &contract.Refusal{Outcome: contract.NotRun, Reason: reason, RetryAfter: drainRetryAfter}
 }
 
-// follow watches the stream for the entry VM's Cancel and for its end, and
-// calls gone once nobody reads the answer any more.
-func (a *Server) follow(s *link.Stream, gone func(canceled bool)) {
+// watchReader waits for the entry VM's Cancel or the end of the stream, then calls onGone:
+// nobody reads the answer any more.
+func (a *Server) watchReader(s *link.Stream, onGone func(canceled bool)) {
 	a.workers.Go(func() {
 		call, err := s.RecvCall()
-		gone(err == nil && call.GetCancel() != nil)
+		onGone(err == nil && call.GetCancel() != nil)
 	})
 }
 
-// abandon decides what happens to an attempt whose reader has gone: one that
-// may not run twice goes on to its end; another one has a time of grace in
-// which it can be resumed.
-func (a *Server) abandon(at *record.Attempt, cancel context.CancelFunc, idempotent bool, ended <-chan struct{}) {
+// awaitResume handles an attempt that lost its reader. A non-idempotent attempt runs to
+// its end. An idempotent one can be resumed within resumeGrace; if it has no reader by
+// then, it is canceled.
+func (a *Server) awaitResume(at *record.Attempt, cancel context.CancelFunc, idempotent bool, ended <-chan struct{}) {
 	if !idempotent {
 		return
 	}
@@ -190,9 +190,8 @@
 	}
 }
 
-// begin gives the attempt to the backend server and takes the head of its
-// answer, and the body too if that is short. It returns the response if there is
-// more to come.
+// begin sends the attempt to the backend server and stores the head of the answer, and
+// the body too if it is short. It returns the response if the body is still to be read.
 func (a *Server) begin(ctx context.Context, at *record.Attempt, w *wire.Attempt, until time.Time) *http.Response {
 	sent := clock.Now()
 	resp, err := a.engine.Do(ctx, engine.Request{
@@ -208,7 +207,7 @@
 		}
 		return nil
 	}
-	a.hear(resp, at.ID, sent)
+	a.applyNotice(resp, at.ID, sent)
 	head := record.Head{Status: resp.StatusCode, Headers: answerHeaders(resp.Header)}
 	if resp.ContentLength < 0 || resp.ContentLength > chunkSize {
 		at.Answer.SetHead(head)
@@ -218,34 +217,34 @@
 	body := make([]byte, resp.ContentLength)
 	n, err := io.ReadFull(resp.Body, body)
 	if err != nil {
-		err = a.broken(ctx, err)
+		err = a.brokenAnswerError(ctx, err)
 	}
 	at.Answer.SetAll(head, body[:n], err)
 	a.table.Finish(at, time.Now())
 	return nil
 }
 
-// produce collects the rest of an answer.
+// produce reads the body of an answer into the record.
 func (a *Server) produce(ctx context.Context, at *record.Attempt, resp *http.Response) {
 	defer resp.Body.Close()
 	err := copyAnswer(ctx, at.Answer, resp.Body)
 	if err != nil {
-		err = a.broken(ctx, err)
+		err = a.brokenAnswerError(ctx, err)
 	}
 	at.Answer.Finish(err)
 	a.table.Finish(at, time.Now())
 }
 
-// broken returns the error of an answer that broke off after its head.
-func (a *Server) broken(ctx context.Context, cause error) error {
+// brokenAnswerError returns the error for an answer that broke off after its head.
+func (a *Server) brokenAnswerError(ctx context.Context, cause error) error {
 	var ended *engine.EndedError
-	if err := a.engine.Lost(ctx, cause); errors.As(err, &ended) {
+	if err := a.engine.ClassifyFailure(ctx, cause); errors.As(err, &ended) {
 		return ended
 	}
 	return eris.Wrapf(record.ErrAborted, "%v", cause)
 }
 
-// chunks holds buffers of chunkSize bytes.
+// chunks is a pool of buffers of chunkSize bytes.
 var chunks = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
 func copyAnswer(ctx context.Context, answer *record.Answer, body io.Reader) error {
@@ -281,8 +280,8 @@
 	return out
 }
 
-// stream sends an attempt's answer from the offset to an entry VM. It reports
-// false if the entry VM did not get all of it, and may come back for more.
+// stream sends an attempt's answer from the offset on to an entry VM. It reports false if
+// the entry VM did not receive all of it and may resume.
 func (a *Server) stream(ctx context.Context, s *link.Stream, to contract.AttemptID, at *record.Attempt, offset int64) bool {
 	reader := at.Answer.Attach(offset)
 	defer reader.Detach()
@@ -317,7 +316,8 @@
 	}
 }
 
-// sendChunk queues a short chunk and sends a long one.
+// sendChunk queues a short chunk, so that several share a write, and sends a long one at
+// once.
 func (a *Server) sendChunk(s *link.Stream, c *wire.AnswerChunk) bool {
 	reply := &wire.Reply{Body: &wire.Reply_Chunk{Chunk: c}}
 	if len(c.GetData()) < chunkSize/2 {
@@ -326,8 +326,8 @@
 	return s.SendReply(reply) == nil
 }
 
-// sendFailure ends a stream whose answer will not become whole. It reports
-// false if the reader, not the answer, is at fault.
+// sendFailure ends a stream whose answer cannot be completed. It reports false if the
+// stream itself was canceled, in which case the answer may still be resumed.
 func (a *Server) sendFailure(ctx context.Context, s *link.Stream, to contract.AttemptID, err error) bool {
 	if ctx.Err() != nil {
 		return false
@@ -352,8 +352,8 @@
 	return true
 }
 
-// serveResume streams the rest of an answer to an entry VM that lost its link
-// or took over from another one.
+// serveResume streams the remainder of an answer to an entry VM that lost its link or
+// took over from another entry VM.
 func (a *Server) serveResume(ctx context.Context, s *link.Stream, w *wire.Resume) {
 	id := contract.AttemptID{Request: contract.RequestID(w.GetRequestId()), Number: w.GetNumber()}
 	at, ok := a.table.Find(id, vm.Incarnation(w.GetIncarnation()))
@@ -365,11 +365,11 @@
 	a.recorder.Record(timeline.Event{Kind: timeline.KindResume, Request: id.String()})
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	a.follow(s, func(bool) { cancel() })
+	a.watchReader(s, func(bool) { cancel() })
 	a.stream(ctx, s, id, at, w.GetOffset())
 }
 
-// wireFates are the fates as they travel on a link.
+// wireFates maps the fates of attempts to their wire values.
 var wireFates = map[record.Fate]wire.Fate{
 	record.FateTombstoned: wire.Fate_FATE_TOMBSTONED,
 	record.FateRunning:    wire.Fate_FATE_RUNNING,
@@ -377,7 +377,7 @@
 	record.FateLost:       wire.Fate_FATE_LOST,
 }
 
-// serveFate answers what became of an attempt.
+// serveFate answers a query about the fate of an attempt.
 func (a *Server) serveFate(s *link.Stream, w *wire.FateQuery) {
 	q := record.Query{
 		ID:          contract.AttemptID{Request: contract.RequestID(w.GetRequestId()), Number: w.GetNumber()},
--- a/agent/server/notice.go
+++ b/agent/server/notice.go
@@ -11,25 +11,26 @@
 	"baywall.example/core/notice"
 )
 
-// A backend server may say in its answers how many requests a second it takes, that it wants none
-// for a while, or that it leaves. All requests go through this agent, so it keeps that exactly.
-// Entry VMs need to know all the same: a request that is refused here was on its way for nothing,
-// and others could have taken it.
+// A backend server may announce in its answers a limit on requests per second, a backoff during
+// which it wants no requests, or that it is shutting down. This agent enforces them exactly,
+// because all requests pass through it. Entry VMs need to know them too: a request that is
+// refused here has wasted a round trip, and another backend server could have served it.
 
-// endedLook is how often it is looked whether a backend server that gets nothing has ended: the
-// one that starts after it has said nothing yet.
-const endedLook = 500 * time.Millisecond
+// endedCheckInterval is how often the agent checks whether a backend server that currently gets
+// no requests has ended: its replacement has not announced anything yet.
+const endedCheckInterval = 500 * time.Millisecond
 
-// permit returns the refusal of an attempt that the backend server does not take now, nil if it
-// does. It is to be asked just before the attempt is handed over.
-func (a *Server) permit() *contract.Refusal {
+// checkBackend returns nil if the backend server takes an attempt now, and a refusal otherwise.
+// It consumes a unit of the rate limit, so it must be called right before the attempt is handed
+// over.
+func (a *Server) checkBackend() *contract.Refusal {
 	now := clock.Now()
-	said := a.said.Load()
-	if _, leaves := said.Leaving(); leaves {
+	noticeState := a.noticeState.Load()
+	if _, leaving := noticeState.Leaving(); leaving {
 		return drainRefusal(contract.ReasonDraining)
 	}
-	if rest := said.RestsUntil().Sub(now); rest > 0 {
-		return &contract.Refusal{Outcome: contract.NotRun, Reason: contract.ReasonRest, RetryAfter: rest}
+	if backoff := noticeState.RestsUntil().Sub(now); backoff > 0 {
+		return &contract.Refusal{Outcome: contract.NotRun, Reason: contract.ReasonRest, RetryAfter: backoff}
 	}
 	wait, ok := a.limit.Take(now)
 	if ok {
@@ -38,35 +39,36 @@
 	return &contract.Refusal{Outcome: contract.NotRun, Reason: contract.ReasonRateLimit, RetryAfter: wait}
 }
 
-// hear takes what an answer to an attempt says, which was handed over at a time.
-func (a *Server) hear(resp *http.Response, id contract.AttemptID, sent time.Time) {
+// applyNotice applies the notice in the answer to an attempt that was handed over at sent.
+func (a *Server) applyNotice(resp *http.Response, id contract.AttemptID, sent time.Time) {
 	now := clock.Now()
 	n, err := engine.ReadNotice(resp, now)
 	if err != nil {
 		a.log.Warn().Err(err).Str("request", id.String()).Msg("notice of the backend server not understood")
 	}
 	a.limit.Heard(n.Limit, sent, now)
-	said := a.said.Load()
+	noticeState := a.noticeState.Load()
 	if n.Rest > 0 {
-		until, before := said.Rest(now.Add(n.Rest), now)
+		until, before := noticeState.Rest(now.Add(n.Rest), now)
 		a.log.Info().Str("request", id.String()).Dur("rest", n.Rest).Dur("left_out", until.Sub(now)).Bool("rested", before).
-			Msg("backend server asks for rest")
+			Msg("backend server requested a backoff")
 	}
-	if n.Leaving && said.Leave(notice.FromAnswer) {
+	if n.Leaving && noticeState.Leave(notice.FromAnswer) {
 		a.log.Info().Str("request", id.String()).Str("source", string(notice.FromAnswer)).Msg("backend server drains")
 	}
 }
 
-// drains reports whether nothing new is taken: the agent drains, or its backend server leaves.
+// drains reports whether new requests are refused because the agent drains or its backend server
+// is shutting down.
 func (a *Server) drains() bool {
-	_, leaves := a.said.Load().Leaving()
-	return leaves || a.draining.Load()
+	_, leaving := a.noticeState.Load().Leaving()
+	return leaving || a.draining.Load()
 }
 
-// forgetEnded forgets what a backend server said that has ended, until the context ends. One that
-// starts again between two looks is not told from it.
-func (a *Server) forgetEnded(ctx context.Context) {
-	ticker := time.NewTicker(endedLook)
+// clearEndedNotices clears the notices of a backend server that has ended. It runs until the
+// context ends. A backend server that restarts between two checks is not detected as a new one.
+func (a *Server) clearEndedNotices(ctx context.Context) {
+	ticker := time.NewTicker(endedCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -74,12 +76,12 @@
 			return
 		case <-ticker.C:
 		}
-		said := a.said.Load()
-		_, leaves := said.Leaving()
-		if !leaves && !clock.Now().Before(said.RestsUntil()) || !a.engine.Refuses(ctx) {
+		noticeState := a.noticeState.Load()
+		_, leaving := noticeState.Leaving()
+		if !leaving && !clock.Now().Before(noticeState.RestsUntil()) || !a.engine.RefusesConnections(ctx) {
 			continue
 		}
-		a.said.Store(&notice.State{})
-		a.log.Info().Bool("left", leaves).Msg("backend server ended, what it said is forgotten")
+		a.noticeState.Store(&notice.State{})
+		a.log.Info().Bool("left", leaving).Msg("backend server ended; its notices are cleared")
 	}
 }
--- a/agent/server/reports.go
+++ b/agent/server/reports.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// reportInterval is the time between two load reports to one entry VM. A
-	// report is also the agent's heartbeat.
+	// reportInterval is the time between load reports to one entry VM. A report
+	// is also the agent's heartbeat.
 	reportInterval = 200 * time.Millisecond
-	// loadInterval is the time between two reads of the engine's report.
+	// loadInterval is the time between reads of the engine's load.
 	loadInterval = 200 * time.Millisecond
 )
 
-// pollLoad keeps the engine's latest report.
+// pollLoad reads the engine's load periodically and keeps the latest one.
 func (a *Server) pollLoad(ctx context.Context) {
 	ticker := time.NewTicker(loadInterval)
 	defer ticker.Stop()
--- a/agent/server/server.go
+++ b/agent/server/server.go
@@ -1,9 +1,9 @@
-// Package server is the agent: the one process on a backend server's VM that
-// gives the backend server requests and orders.
+// Package server implements the agent: the only process on a backend server's VM that
+// sends requests and orders to the backend server.
 //
-// It accepts links from entry VMs and other agents, runs attempts through the
-// record, reports load, spreads configuration to itself from the entry VMs
-// that link to it, and takes part in the switch of its group's expert map.
+// It accepts links from entry VMs and other agents, runs attempts and keeps a record of
+// them, reports load, pulls configuration from the entry VMs that link to it, and takes
+// part in switches of its group's expert map.
 package server
 
 import (
@@ -54,19 +54,19 @@
 	groups      *group.Set
 	metrics     *metrics
 
-	inFlight atomic.Int64
-	traffic  atomic.Int64 // bytes of all links
-	draining atomic.Bool
-	said     atomic.Pointer[notice.State] // by the backend server that runs now
-	load     atomic.Pointer[engine.Load]
-	active   inFlightGate
-	workers  conc.WaitGroup
-	stop     context.CancelFunc
-	listener net.Listener
-	debug    *http.Server
+	inFlight    atomic.Int64
+	traffic     atomic.Int64 // bytes of all links
+	draining    atomic.Bool
+	noticeState atomic.Pointer[notice.State] // of the backend server process that runs now
+	load        atomic.Pointer[engine.Load]
+	active      inFlightGate
+	workers     conc.WaitGroup
+	stop        context.CancelFunc
+	listener    net.Listener
+	debug       *http.Server
 }
 
-// inFlightGate counts running attempts and lets a drain wait for the last.
+// inFlightGate counts running attempts and lets a drain wait until there are none.
 type inFlightGate struct {
 	mu    sync.Mutex
 	count int
@@ -135,25 +135,25 @@
 	a.pool = link.NewPool(a.local, a, nil, nil)
 	a.groups = group.NewSet(group.Environment{
 		VM: id, Incarnation: a.incarnation, Engine: a.engine, Pool: a.pool,
-		World: published{a.config, a.vms}, Recorder: a.recorder, Log: log,
+		World: publishedConfig{a.config, a.vms}, Recorder: a.recorder, Log: log,
 	})
-	a.said.Store(&notice.State{})
+	a.noticeState.Store(&notice.State{})
 	a.metrics = newMetrics(a)
 	a.load.Store(&engine.Load{})
 	return a
 }
 
-// published is the world of groups as operators publish it.
-type published struct {
+// publishedConfig implements group.World from the configuration that operators publish.
+type publishedConfig struct {
 	config *configuration.Store
 	vms    *configuration.VMs
 }
 
-// Groups returns all published groups.
-func (p published) Groups() map[string]*resource.Group { return p.config.View().Groups }
+// Groups returns all groups in the configuration.
+func (p publishedConfig) Groups() map[string]*resource.Group { return p.config.View().Groups }
 
 // Intent returns the service's published intent, or the default one.
-func (p published) Intent(service string) resource.Intent {
+func (p publishedConfig) Intent(service string) resource.Intent {
 	if i := p.config.View().Intents[service]; i != nil {
 		return *i
 	}
@@ -162,11 +162,11 @@
 	return i
 }
 
-// Learn does nothing: the shape is published.
-func (p published) Learn(expertmap.Shape) {}
+// Learn does nothing: the shape is part of the configuration.
+func (p publishedConfig) Learn(expertmap.Shape) {}
 
-// Find returns a VM of the list; one that is not listed has no address.
-func (p published) Find(id vm.ID) vm.VM {
+// Find returns a VM from the list, or one without an address if it is not listed.
+func (p publishedConfig) Find(id vm.ID) vm.VM {
 	v, _ := p.vms.List().Find(id)
 	v.ID = id
 	return v
@@ -176,7 +176,7 @@
 	return a.config.Revision(), a.vms.List().Revision
 }
 
-// Start opens the listeners and begins to serve.
+// Start opens the listeners and starts serving.
 func (a *Server) Start() error {
 	ln, err := net.Listen("tcp", a.settings.Link.Listen)
 	if err != nil {
@@ -186,7 +186,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	a.stop = cancel
 	a.workers.Go(func() { _ = link.Accept(ln, a.local, a.authorize, a) })
-	a.workers.Go(func() { a.forgetEnded(ctx) })
+	a.workers.Go(func() { a.clearEndedNotices(ctx) })
 	if a.settings.Engine.Kind == KindEngine {
 		a.workers.Go(func() { a.pollLoad(ctx) })
 		a.workers.Go(func() { a.groups.Run(ctx) })
@@ -202,8 +202,8 @@
 	return nil
 }
 
-// Stop refuses new attempts, waits for those in flight up to the drain timeout
-// and for the linger time, and ends.
+// Stop refuses new attempts, waits for those in flight and for the linger time to pass,
+// both bounded by the drain timeout, and then shuts down.
 func (a *Server) Stop(ctx context.Context) error {
 	a.draining.Store(true)
 	a.recorder.Record(timeline.Event{Kind: timeline.KindDrain})
@@ -230,8 +230,8 @@
 	return nil
 }
 
-// authorize accepts links only from VMs on the list, from their own address.
-// Before the first list has come, nobody can be checked and all may link.
+// authorize accepts links only from listed VMs at their listed address. Before the first
+// list arrives, there is nothing to check against and every VM may link.
 func (a *Server) authorize(h *wire.Hello, remote net.Addr) error {
 	return configuration.Authorize(a.vms.List(), h, remote)
 }
@@ -239,7 +239,7 @@
 // ServeStream handles one call from another VM.
 func (a *Server) ServeStream(ctx context.Context, from *link.Link, s *link.Stream, call *wire.Call) {
 	if !a.allowed(from, call) {
-		a.log.Warn().Str("vm", string(from.Remote)).Msg("call refused: not this VM's to make")
+		a.log.Warn().Str("vm", string(from.Remote)).Msg("call refused: not permitted for this VM")
 		return
 	}
 	switch body := call.GetBody().(type) {
@@ -265,7 +265,7 @@
 			return s.SendReply(&wire.Reply{Body: &wire.Reply_SwitchRelay{SwitchRelay: r}})
 		})
 		if err != nil {
-			a.log.Info().Err(err).Str("vm", string(from.Remote)).Msg("replies to an order not sent")
+			a.log.Info().Err(err).Str("vm", string(from.Remote)).Msg("failed to send replies to a switch order")
 		}
 	case *wire.Call_Timeline:
 		events := a.recorder.Select(timeline.FilterFromWire(body.Timeline))
@@ -275,8 +275,8 @@
 	}
 }
 
-// allowed reports whether a VM may make a call: requests and announcements
-// come from entry VMs, orders about a group's map from its own ranks.
+// allowed reports whether a VM may make a call: only entry VMs send requests and
+// announcements, and only a group's ranks send orders about its expert map.
 func (a *Server) allowed(from *link.Link, call *wire.Call) bool {
 	switch body := call.GetBody().(type) {
 	case *wire.Call_Attempt, *wire.Call_Resume, *wire.Call_Fate, *wire.Call_Watch, *wire.Call_Announce:
@@ -289,7 +289,7 @@
 	}
 }
 
-// pull fetches what an entry VM announced, over the link it came by.
+// pull fetches announced configuration over the link on which the announcement came.
 func (a *Server) pull(ctx context.Context, from *link.Link, n *wire.Announce) {
 	config, vms := a.revisions()
 	if n.GetConfigRevision() <= config && n.GetVmsRevision() <= vms {
@@ -306,7 +306,7 @@
 	configuration.RecordChanges(a.recorder, changes)
 }
 
-// pullTimeout bounds one exchange of configuration.
+// pullTimeout bounds one pull of configuration.
 const pullTimeout = 3 * time.Second
 
 func refusal(id contract.AttemptID, r *contract.Refusal) *wire.Refusal {
--- a/agent/server/server_test.go
+++ b/agent/server/server_test.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// Only entry VMs give requests, and only a group's ranks give orders about its
+// Only entry VMs may send requests, and only a group's ranks may send orders about its
 // expert map.
-func TestCallsAreAcceptedFromThoseWhoseTheyAre(t *testing.T) {
+func TestCallsAreRestrictedByRoleAndGroup(t *testing.T) {
 	is := is.New(t)
 	var s Settings
 	is.NoErr(settings.Parse("a.yaml", []byte(valid), &s))
@@ -61,12 +61,12 @@
 	}}})
 	entry := &link.Link{Remote: "e", Role: vm.RoleEntry}
 	rank := &link.Link{Remote: "b", Role: vm.RoleBackend}
-	stranger := &link.Link{Remote: "c", Role: vm.RoleBackend}
+	outsider := &link.Link{Remote: "c", Role: vm.RoleBackend}
 	attempt := &wire.Call{Body: &wire.Call_Attempt{Attempt: &wire.Attempt{}}}
 	order := &wire.Call{Body: &wire.Call_SwitchRelay{SwitchRelay: &wire.SwitchRelay{Order: &wire.SwitchOrder{Group: "g"}}}}
 	is.True(a.allowed(entry, attempt))
 	is.True(!a.allowed(rank, attempt))
 	is.True(a.allowed(rank, order))
 	is.True(!a.allowed(entry, order))
-	is.True(!a.allowed(stranger, order))
+	is.True(!a.allowed(outsider, order))
 }
--- a/agent/server/settings.go
+++ b/agent/server/settings.go
@@ -12,15 +12,15 @@
 	VM string `yaml:"vm"`
 	// Zone is the availability zone of this VM. Required.
 	Zone string `yaml:"zone"`
-	// Link is where entry VMs and other agents reach this process.
+	// Link configures the listener for entry VMs and other agents.
 	Link LinkSettings `yaml:"link"`
-	// Engine is the backend server that this agent serves.
+	// Engine is the backend server on this VM.
 	Engine EngineSettings `yaml:"engine"`
-	// Record bounds the memory of attempts.
+	// Record bounds the record of attempts.
 	Record RecordSettings `yaml:"record"`
-	// Drain tells how the agent leaves.
+	// Drain configures the shutdown.
 	Drain DrainSettings `yaml:"drain"`
-	// Debug is where expvar metrics are served; empty = nowhere.
+	// Debug configures the listener for expvar metrics; empty = none.
 	Debug DebugSettings `yaml:"debug"`
 	// LogLevel is one of debug, info, warn, error. Default info.
 	LogLevel string `yaml:"log_level"`
@@ -29,7 +29,7 @@
 // LinkSettings are the settings of the link listener.
 type LinkSettings struct {
 	// Listen is the IP:port that the process listens on. Required. Its IP is
-	// also the source of outgoing links.
+	// also the source address of outgoing links.
 	Listen string `yaml:"listen"`
 }
 
@@ -40,42 +40,42 @@
 	// Kind is "engine" for a model engine that reports its load, or "plain".
 	// Default plain.
 	Kind string `yaml:"kind"`
-	// MaxInFlight bounds the requests running at a time. From 1 to 100000,
+	// MaxInFlight bounds the requests running at the same time. From 1 to 100000,
 	// default 256.
 	MaxInFlight int `yaml:"max_in_flight"`
 }
 
-// RecordSettings bound the agent's memory of attempts.
+// RecordSettings bound the agent's record of attempts.
 type RecordSettings struct {
 	// Retention is how long a finished answer can be resumed. From 1s to 10m,
 	// default 10s.
 	Retention time.Duration `yaml:"retention"`
-	// TicketGrace is how long a ticket is remembered after it expired. From 1s
-	// to 1h, default 1m.
+	// TicketGrace is how long a ticket is kept after it expires. From 1s to 1h,
+	// default 1m.
 	TicketGrace time.Duration `yaml:"ticket_grace"`
 	// ClockSkew is the largest difference between the clocks of two VMs. From
 	// 0 to 10s, default 500ms.
 	ClockSkew time.Duration `yaml:"clock_skew"`
-	// AnswerBytes bounds the saved answers, in bytes. From 65536 to 1 GiB,
-	// default 8388608.
+	// AnswerBytes bounds the total size of saved answers, in bytes. From 65536
+	// to 1 GiB, default 8388608.
 	AnswerBytes int `yaml:"answer_bytes"`
 }
 
-// DrainSettings tell how a process leaves.
+// DrainSettings are the settings of the shutdown.
 type DrainSettings struct {
-	// Linger is how long the agent goes on answering after it began to leave,
-	// refusing everything new: who presents a ticket gets the proof that it
-	// did not run, which nobody can give once the process has ended. From 0 to
+	// Linger is how long the agent keeps answering after a drain began, while it
+	// refuses new requests. A caller that presents a ticket gets proof that its
+	// request did not run, which is lost once the process has ended. From 0 to
 	// 1h, default 35s: a little more than the entry VMs' callers.ticket_ttl.
 	Linger *time.Duration `yaml:"linger"`
-	// Timeout is how long requests in flight may take before the process stops
-	// all the same. From 1s to 24h, default 15m.
+	// Timeout is how long a drain may take before the process stops even with
+	// requests in flight. From 1s to 24h, default 15m.
 	Timeout time.Duration `yaml:"timeout"`
 }
 
 // DebugSettings are the settings of the metrics listener.
 type DebugSettings struct {
-	// Listen is the IP:port of the expvar metrics. Default: none.
+	// Listen is the IP:port that serves expvar metrics. Default none.
 	Listen string `yaml:"listen"`
 }
 
@@ -111,7 +111,7 @@
 	s.LogLevel = settings.Or(s.LogLevel, "info")
 }
 
-// Validate fills in the defaults and returns every wrong value.
+// Validate fills in the defaults and returns every invalid value.
 func (s *Settings) Validate() []settings.Problem {
 	s.Provision()
 	var c settings.Checks
