--- a/agent/rank/api.go
+++ b/agent/rank/api.go
@@ -2,48 +2,48 @@
 
 import "context"
 
-// API is one rank as the platform offers it.
+// API is the platform's interface to one rank.
 type API interface {
-	// Report returns the rank's state, as it is now.
+	// Report returns the rank's current state.
 	Report(ctx context.Context) (Report, error)
-	// Counts returns what the rank's requests have chosen.
+	// Counts returns how many tokens the rank's requests have routed to each expert.
 	Counts(ctx context.Context) (Counts, error)
 	// Placement returns the experts of this rank by layer in the map in use.
 	Placement(ctx context.Context) (Placement, error)
-	// Order gives an order. An error means that there was no answer: the order
-	// may have been carried out, or may still be.
+	// Order sends an order. An error means that there was no answer: the order
+	// may have been carried out, or may be carried out later.
 	Order(ctx context.Context, o Order) (Result, error)
 }
 
 // Report is a rank's state.
 type Report struct {
 	Group    string
-	Epoch    uint64 // formation of the group
+	Epoch    uint64 // number of the group's formation
 	Rank     int
-	Size     int // ranks of the group
+	Size     int // number of ranks in the group
 	Open     bool
-	Busy     bool   // an order is being carried out
-	Sequence uint64 // orders begun
-	Pace     float64
-	Running  int // requests in the batch
-	Waiting  int // requests in the queue
+	Busy     bool    // an order is being carried out
+	Sequence uint64  // number of orders begun
+	Pace     float64 // duration of a step over its usual duration; more than 1 is slow
+	Running  int     // requests in the batch
+	Waiting  int     // requests in the queue
 
-	Step     uint64 // the last one begun
+	Step     uint64 // the last step begun
 	Map      uint64 // version in use
-	Prepared uint64 // version held beside it, 0 = none
+	Prepared uint64 // version loaded in addition, 0 = none
 	Armed    Arming
-	Held     uint64 // step that the group does not begin, 0 = none
+	Held     uint64 // step that the group must not begin, 0 = none
 }
 
-// Arming tells at which step a rank begins to use a version; zero = not armed.
+// Arming is the step from which a rank uses a version; zero = not armed.
 type Arming struct {
 	Version, Step uint64
 }
 
-// Counts are tokens by layer and expert since the rank started.
+// Counts are token counts by layer and expert since the rank started.
 type Counts struct {
 	Step, Epoch uint64
-	Tokens      []int64 // all layers, one after the other
+	Tokens      []int64 // the experts of all layers, concatenated
 }
 
 // Placement is one rank's part of the map in use.
@@ -57,10 +57,10 @@
 
 // Kinds of orders.
 const (
-	OrderPrepare OrderKind = iota + 1 // copy the experts of Map that are new
+	OrderPrepare OrderKind = iota + 1 // copy the experts of Map that the rank lacks
 	OrderArm                          // use Version from Step on
 	OrderHold                         // do not begin Step
-	OrderRelease                      // begin Step after all
+	OrderRelease                      // lift the hold of Step
 )
 
 // String returns the kind's name.
@@ -70,9 +70,9 @@
 type Order struct {
 	Kind     OrderKind
 	Epoch    uint64
-	Sequence uint64 // expected
-	// AnySequence tells that no sequence is expected: whoever gives the order has not
-	// read the rank.
+	Sequence uint64 // expected value of Report.Sequence
+	// AnySequence disables the check of Sequence, for a sender that has not read the
+	// rank's report.
 	AnySequence bool
 	Version     uint64
 	Step        uint64
@@ -84,8 +84,8 @@
 
 // Results of an order.
 const (
-	ResultDone     Result = iota + 1 // carried out, or the state was there already
-	ResultBegun                      // it takes a while
-	ResultRefused                    // it does not fit the rank's state, and had no effect
-	ResultReplaced                   // another backend server has the address
+	ResultDone     Result = iota + 1 // carried out, or already in effect
+	ResultBegun                      // begun, and takes a while
+	ResultRefused                    // does not fit the rank's state, and had no effect
+	ResultReplaced                   // another backend server now has the address
 )
--- a/agent/rank/engine.go
+++ b/agent/rank/engine.go
@@ -14,7 +14,7 @@
 	"baywall.example/core/wait"
 )
 
-// Errors of this layer.
+// Errors of orders.
 var (
 	// ErrRefused means that the rank did not carry out an order and will not.
 	ErrRefused = eris.New("rank: order refused")
@@ -26,22 +26,23 @@
 )
 
 const (
-	// answerTimeout is how long an order's answer is waited for: it comes in a
-	// few milliseconds from the own VM, or never. The group may be waiting.
+	// answerTimeout is how long to wait for the answer to an order. The engine is
+	// on the same VM, so the answer comes within a few milliseconds or never, and
+	// the group may be waiting for the order.
 	answerTimeout = 30 * time.Millisecond
-	// mostTries is how often an order is given before its fate is left to the
-	// next call: with half of the answers lost, one in 65,000 needs more.
-	mostTries = 16
-	// settleTime bounds one attempt to settle an order that had no answer.
-	settleTime = 1500 * time.Millisecond
-	// loadPoll is how often a rank that copies experts is looked at.
-	loadPoll = 15 * time.Millisecond
-	// firstSteps is how many steps a rank may have made for its counts to be those
-	// of the present demand: a few seconds of them.
-	firstSteps = 40
-	// loadTime is how long one call waits for the copies; the coordinator asks
+	// maxTries is how often an order is sent before it is left to the next call to
+	// settle it: with half of the answers lost, one order in 65,000 needs more.
+	maxTries = 16
+	// settleTimeout bounds one attempt to settle an order that had no answer.
+	settleTimeout = 1500 * time.Millisecond
+	// loadPollInterval is how often a rank that copies experts is polled.
+	loadPollInterval = 15 * time.Millisecond
+	// maxFreshSteps is the number of steps, a few seconds' worth, up to which all
+	// counts since a rank's start represent the current demand.
+	maxFreshSteps = 40
+	// loadTimeout is how long one call waits for the copies; the coordinator calls
 	// again.
-	loadTime = 1500 * time.Millisecond
+	loadTimeout = 1500 * time.Millisecond
 )
 
 // Engine drives one rank's expert map. It implements mapswitch.Engine and is
@@ -54,25 +55,25 @@
 	loading atomic.Uint64 // version that the rank has begun to load
 
 	mu      sync.Mutex
-	pending *Order // given, not answered, effect not seen
+	pending *Order // sent, without an answer or a visible effect
 
-	observing sync.Mutex
+	observeMu sync.Mutex
 	baseline  Counts
 	placement Placement
 }
 
-// Shape is the size of the maps of a group.
+// Shape is the dimensions of a group's expert maps.
 type Shape struct {
-	Layers, Experts, Slots int // Slots are per rank and layer
+	Layers, Experts, Slots int // Slots is per rank and layer
 }
 
-// NewEngine returns the engine of a rank. The shape is asked for each time, as
-// it may not be known at first.
+// NewEngine returns the engine of a rank. shape is called whenever the shape is needed,
+// as it may not be known at first.
 func NewEngine(api API, shape func() Shape, log zerolog.Logger) *Engine {
 	return &Engine{api: api, shape: shape, log: log}
 }
 
-// Experts returns the rank's state once the fate of its orders is known.
+// Experts returns the rank's state once the outcome of all earlier orders is known.
 func (e *Engine) Experts(ctx context.Context) (engine.ExpertState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -90,11 +91,11 @@
 	return stateOf(report), nil
 }
 
-// Observe returns the rank's state as it is, with the tokens counted since the last
-// call that asked for counts.
+// Observe returns the rank's current state without settling a pending order. If counts
+// is true, it includes the tokens counted since the last call with counts.
 func (e *Engine) Observe(ctx context.Context, counts bool) (engine.ExpertState, error) {
-	e.observing.Lock()
-	defer e.observing.Unlock()
+	e.observeMu.Lock()
+	defer e.observeMu.Unlock()
 	report, err := e.api.Report(ctx)
 	if err != nil {
 		return engine.ExpertState{}, err
@@ -119,13 +120,13 @@
 	return s
 }
 
-// addCounts adds what was counted since the last time, and the map in use.
+// addCounts adds to s the counts since the last call and the map in use.
 func (e *Engine) addCounts(ctx context.Context, r Report, s *engine.ExpertState) error {
 	counts, err := e.api.Counts(ctx)
 	if err != nil {
 		return err
 	}
-	s.Counts = e.since(counts)
+	s.Counts = e.countsDelta(counts)
 	if e.placement.Layers == nil || e.placement.Version != r.Map || e.placement.Epoch != r.Epoch {
 		if e.placement, err = e.api.Placement(ctx); err != nil {
 			return err
@@ -136,16 +137,16 @@
 	return nil
 }
 
-// since returns the difference to the counts of the last call, by layer. A rank
-// that started anew has counted from zero.
-func (e *Engine) since(now Counts) [][]int64 {
+// countsDelta returns by layer how much the counts grew since the last call. After a
+// restart of the rank, which counts from zero again, it returns the counts themselves.
+func (e *Engine) countsDelta(now Counts) [][]int64 {
 	shape := e.shape()
 	if shape.Experts == 0 || len(now.Tokens) != shape.Layers*shape.Experts {
 		return nil
 	}
 	base := e.baseline.Tokens
-	if len(base) != len(now.Tokens) && now.Step > firstSteps {
-		base = now.Tokens // what was liked long ago says nothing
+	if len(base) != len(now.Tokens) && now.Step > maxFreshSteps {
+		base = now.Tokens // counts over a long run do not show the current demand
 	}
 	fresh := len(base) != len(now.Tokens)
 	for i := 0; !fresh && i < len(base); i++ {
@@ -174,28 +175,28 @@
 	if err := e.settle(ctx); err != nil {
 		return engine.ExpertState{}, err
 	}
-	if err := e.carryOut(ctx, o); err != nil {
+	if err := e.execute(ctx, o); err != nil {
 		return engine.ExpertState{}, err
 	}
 	return e.report(ctx)
 }
 
-func (e *Engine) carryOut(ctx context.Context, o engine.Order) error {
+func (e *Engine) execute(ctx context.Context, o engine.Order) error {
 	switch o.Kind {
 	case engine.OrderLoad:
 		return e.load(ctx, Order{Kind: OrderPrepare, Version: o.Version, Map: e.byRank(o.Map)})
 	case engine.OrderHold:
-		return e.give(ctx, Order{Kind: OrderHold, Step: o.Step})
+		return e.send(ctx, Order{Kind: OrderHold, Step: o.Step})
 	case engine.OrderActivate:
-		return e.give(ctx, Order{Kind: OrderArm, Version: o.Version, Step: o.Step})
+		return e.send(ctx, Order{Kind: OrderArm, Version: o.Version, Step: o.Step})
 	case engine.OrderRelease:
-		return e.give(ctx, Order{Kind: OrderRelease, Step: o.Step})
+		return e.send(ctx, Order{Kind: OrderRelease, Step: o.Step})
 	default:
 		return eris.Wrapf(ErrRefused, "unknown kind %q", o.Kind)
 	}
 }
 
-// byRank turns slots by layer into experts by layer and rank.
+// byRank converts slots by layer to experts by layer and rank.
 func (e *Engine) byRank(layers [][]int32) [][][]int32 {
 	slots := e.shape().Slots
 	if slots == 0 {
@@ -216,22 +217,22 @@
 	return out
 }
 
-// load gives a prepare order, unless it was given before.
+// load sends a prepare order, unless the rank already loads that version.
 func (e *Engine) load(ctx context.Context, o Order) error {
 	if e.loading.Load() == o.Version {
 		return nil
 	}
-	if err := e.give(ctx, o); err != nil {
+	if err := e.send(ctx, o); err != nil {
 		return err
 	}
 	e.loading.Store(o.Version)
 	return nil
 }
 
-// Loaded waits until the copies of a version that the rank has begun to load are
-// there, or another one is loaded instead.
+// Loaded waits until the rank has loaded a version that it has begun to load. It returns
+// ErrLoading after loadTimeout, or as soon as another version is loaded instead.
 func (e *Engine) Loaded(ctx context.Context, version uint64) (engine.ExpertState, error) {
-	for until := clock.Now().Add(loadTime); clock.Now().Before(until); {
+	for until := clock.Now().Add(loadTimeout); clock.Now().Before(until); {
 		state, err := e.report(ctx)
 		if err != nil {
 			return engine.ExpertState{}, err
@@ -242,27 +243,28 @@
 		if e.loading.Load() != version {
 			return engine.ExpertState{}, ErrLoading
 		}
-		if !wait.Sleep(ctx, loadPoll) {
+		if !wait.Sleep(ctx, loadPollInterval) {
 			break
 		}
 	}
-	e.loading.CompareAndSwap(version, 0) // it is given again, which does no harm
+	e.loading.CompareAndSwap(version, 0) // the next order is sent again, which does no harm
 	return engine.ExpertState{}, ErrLoading
 }
 
-// give gives an order until it has an answer, its effect shows, or it is void.
-func (e *Engine) give(ctx context.Context, o Order) error {
+// send sends an order repeatedly until it is answered, its effect shows or it is void. After
+// maxTries, or if the context ends, the order becomes pending and send returns ErrUnsettled.
+func (e *Engine) send(ctx context.Context, o Order) error {
 	report, err := e.api.Report(ctx)
 	if err != nil {
 		return err
 	}
 	o.Epoch, o.Sequence = report.Epoch, report.Sequence
 	for tries := 1; ; tries++ {
-		settled, err := e.try(ctx, o, tries)
+		settled, err := e.sendOnce(ctx, o, tries)
 		if settled {
 			return err
 		}
-		if ctx.Err() != nil || tries >= mostTries {
+		if ctx.Err() != nil || tries >= maxTries {
 			e.pending = &o
 			e.log.Warn().Str("order", o.Kind.String()).Uint64("version", o.Version).Uint64("step", o.Step).
 				Uint64("epoch", o.Epoch).Int("tries", tries).Msg("order without an answer")
@@ -271,8 +273,8 @@
 	}
 }
 
-// try gives the order once and reports whether its fate is known.
-func (e *Engine) try(ctx context.Context, o Order, tries int) (settled bool, err error) {
+// sendOnce sends the order once and reports whether its outcome is known.
+func (e *Engine) sendOnce(ctx context.Context, o Order, tries int) (settled bool, err error) {
 	once, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	result, err := e.api.Order(once, o)
@@ -283,7 +285,7 @@
 	if reportErr != nil {
 		return false, reportErr
 	}
-	if o.took(report) {
+	if o.tookEffect(report) {
 		return true, nil
 	}
 	if err == nil {
@@ -293,8 +295,8 @@
 	return false, err
 }
 
-// took reports whether the report shows the order's effect.
-func (o Order) took(r Report) bool {
+// tookEffect reports whether the rank's report shows the order's effect.
+func (o Order) tookEffect(r Report) bool {
 	if r.Epoch != o.Epoch {
 		return false
 	}
@@ -312,16 +314,16 @@
 	}
 }
 
-// settle gives a pending order again until its fate is known.
+// settle sends a pending order again until its outcome is known.
 func (e *Engine) settle(ctx context.Context) error {
 	if e.pending == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	o := *e.pending
-	for tries := 1; ctx.Err() == nil && tries <= mostTries; tries++ {
-		settled, err := e.try(ctx, o, tries)
+	for tries := 1; ctx.Err() == nil && tries <= maxTries; tries++ {
+		settled, err := e.sendOnce(ctx, o, tries)
 		if settled {
 			e.pending = nil
 			e.log.Info().Str("order", o.Kind.String()).Uint64("version", o.Version).Uint64("step", o.Step).
