--- a/agent/cmd/baywall-agent/main.go
+++ b/agent/cmd/baywall-agent/main.go
@@ -1,5 +1,5 @@
-// Command baywall-agent runs on a backend server's VM and is the only process
-// that gives the backend server requests and orders.
+// Command baywall-agent runs on a backend server's VM and is the only process that sends
+// requests and orders to the backend server.
 package main
 
 import (
@@ -28,7 +28,7 @@
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
 
-// serveCommand runs the agent until it is told to stop.
+// serveCommand runs the agent until the process is told to stop.
 type serveCommand struct{ path string }
 
 func (*serveCommand) Name() string     { return "serve" }
--- a/agent/rankserver/command.go
+++ b/agent/rankserver/command.go
@@ -13,7 +13,7 @@
 	"baywall.example/core/settings"
 )
 
-// Command is the subcommand that runs a rank's agent with an adapter.
+// Command is the subcommand that runs a rank's agent on an adapter's platform.
 type Command struct {
 	adapter Adapter
 	path    string
@@ -38,7 +38,7 @@
 	f.BoolVar(&c.check, "check", false, "only validate the settings file")
 }
 
-// Execute runs the agent until it is told to stop.
+// Execute runs the agent until the process is told to stop.
 func (c *Command) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	var s Settings
 	if c.check {
--- a/agent/rankserver/hold.go
+++ b/agent/rankserver/hold.go
@@ -8,20 +8,21 @@
 	"baywall.example/core/vm"
 )
 
-// holdersAsked is how many gateways are asked to give one order: one of them may be down.
-const holdersAsked = 2
+// maxHoldGateways is how many gateways are asked to send one order to hold a step. It is more
+// than one because a gateway may be down.
+const maxHoldGateways = 2
 
-// askHold asks gateways to make the rank on a VM hold a step. All VMs of a service have
-// their engines at the same port.
-func (r *Server) askHold(of vm.VM, epoch, step uint64) {
+// requestHold asks gateways to make the rank on a VM hold a step. It assumes the local engine's
+// port, because the engines of a service listen on the same port on all VMs.
+func (r *Server) requestHold(of vm.VM, epoch, step uint64) {
 	host, _, err := net.SplitHostPort(of.Link)
 	if err != nil {
-		r.log.Warn().Err(err).Str("rank", string(of.ID)).Msg("no address to hold a step at")
+		r.log.Warn().Err(err).Str("rank", string(of.ID)).Msg("cannot request a hold: address of the rank is unknown")
 		return
 	}
 	_, port, _ := net.SplitHostPort(r.settings.Engine) // validated
 	gateways := append([]string(nil), r.settings.Gateways...)
 	rand.Shuffle(len(gateways), func(i, j int) { gateways[i], gateways[j] = gateways[j], gateways[i] })
-	gateways = gateways[:min(len(gateways), holdersAsked)]
+	gateways = gateways[:min(len(gateways), maxHoldGateways)]
 	r.node.AskHold(gateways, cluster.Hold{Engine: net.JoinHostPort(host, port), Epoch: epoch, Step: step})
 }
--- a/agent/rankserver/label.go
+++ b/agent/rankserver/label.go
@@ -11,7 +11,7 @@
 	"baywall.example/core/wait"
 )
 
-// followLabel keeps what is known of the own rank's group.
+// followLabel keeps the label of the local rank up to date.
 func (r *Server) followLabel(ctx context.Context) {
 	for ctx.Err() == nil {
 		interval := labelInterval
@@ -26,30 +26,32 @@
 	}
 }
 
-// readLabel asks the own rank for its group.
+// readLabel reads the local rank's report, which applyReport then evaluates.
 func (r *Server) readLabel(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := r.api.Report(ctx); err != nil && ctx.Err() != nil {
-		r.noteReport(rank.Report{}, err) // silent
+		r.applyReport(rank.Report{}, err) // a timeout here does count: the rank is silent
 	}
 }
 
-// noteReport takes over what the own rank says of its group and its pace.
-func (r *Server) noteReport(report rank.Report, err error) {
+// applyReport applies a report of the local rank, or the error in its place: the group and
+// the slowdown of the rank.
+func (r *Server) applyReport(report rank.Report, err error) {
 	before := r.world.getLabel()
 	if err == nil && report.Group != "" {
-		// Known while the group is still being formed: heirs then read the configuration
-		// in time, which took up to 0.46 s after the group was open.
-		if heir := report.Rank < group.Heirs; r.isHeir.Swap(heir) != heir {
-			r.expect()
+		// The rank number is known while the group is still forming. Successors read the
+		// configuration from then on; reading it only once the group was open took up to
+		// 0.46 s more.
+		if isSuccessor := report.Rank < group.Heirs; r.successor.Swap(isSuccessor) != isSuccessor {
+			r.updateSeeds()
 		}
 	}
 	if err != nil || report.Group == "" || !report.Open {
 		if before != nil {
 			r.log.Warn().Err(err).Str("group", before.Group).Uint64("epoch", before.Epoch).Bool("open", report.Open).Msg("rank lost")
 		}
-		r.closed = true
+		r.ungrouped = true
 		r.world.setLabel(nil)
 		if before != nil {
 			r.node.Announce()
@@ -59,52 +61,54 @@
 	label := &cluster.RankLabel{Group: report.Group, Epoch: report.Epoch, Rank: report.Rank, Size: report.Size}
 	if before == nil || *before != *label {
 		r.formed = clock.Now()
-		if r.closed {
+		if r.ungrouped {
 			r.groups.Formed(label.Group)
 		}
-		r.closed = false
+		r.ungrouped = false
 		r.log.Info().Str("group", label.Group).Uint64("epoch", label.Epoch).Int("rank", label.Rank).Int("size", label.Size).Msg("rank regained")
 	}
 	r.world.setLabel(label)
 	if before == nil || *before != *label {
 		r.node.Announce()
 	}
-	r.tellPace(report.Pace)
+	r.reportSlowdown(report.Pace)
 }
 
-// formedTold is for how long gateways are told that the group was formed: datagrams may
-// be lost.
-const formedTold = 250 * time.Millisecond
+// formedReportTime is how long the forming of the group is reported to gateways. It is
+// reported repeatedly because datagrams may be lost.
+const formedReportTime = 250 * time.Millisecond
 
-// slowFrom is the pace from which gateways are told of it: less is no reason to
-// give a rank fewer requests.
-const slowFrom = 1.05
+// slowThreshold is the slowdown from which a rank is reported to gateways as slow. A smaller
+// one is no reason to send a rank fewer requests.
+const slowThreshold = 1.05
 
-// tellPace tells gateways that the own rank is slow, and once that it no longer is; and
-// that its group was formed: a group that was down takes requests again then, 0.2 s
-// before its rank's reports to others say so and 0.3 s before a gateway probes it.
-func (r *Server) tellPace(pace float64) {
-	slow := pace >= slowFrom
-	told := cluster.Pace{Engine: r.settings.Engine, Pace: pace}
-	if clock.Since(r.formed) < formedTold {
-		told.Formed = r.formed
+// reportSlowdown reports to gateways that the local rank is slow, and once that it no longer
+// is. It also reports that the rank's group was formed: a group that was down takes requests
+// again then, and gateways would otherwise learn it 0.2 s later from the rank's reports to
+// others, or 0.3 s later from their own probe.
+func (r *Server) reportSlowdown(slowdown float64) {
+	slow := slowdown >= slowThreshold
+	slowdownReport := cluster.Pace{Engine: r.settings.Engine, Pace: slowdown}
+	if clock.Since(r.formed) < formedReportTime {
+		slowdownReport.Formed = r.formed
 	}
-	if !slow && !r.slow && told.Formed.IsZero() {
+	if !slow && !r.slow && slowdownReport.Formed.IsZero() {
 		return
 	}
 	if slow != r.slow {
-		r.log.Info().Float64("pace", pace).Bool("slow", slow).Msg("pace of the rank changed")
+		r.log.Info().Float64("pace", slowdown).Bool("slow", slow).Msg("pace of the rank changed")
 	}
 	r.slow = slow
-	r.node.TellPace(r.settings.Gateways, told)
+	r.node.TellPace(r.settings.Gateways, slowdownReport)
 }
 
-// heir reports whether this rank, as far as it was ever known, is among the first to
-// coordinate its group. The others need to know only these.
-func (r *Server) heir() bool { return r.isHeir.Load() }
+// isSuccessor reports whether this rank, by the latest group that it was seen in, is one of
+// the first candidates to coordinate its group. The other ranks need to know only these.
+func (r *Server) isSuccessor() bool { return r.successor.Load() }
 
-// rests reports whether this rank leaves the store to the heirs.
-func (r *Server) rests() bool {
+// isStandby reports whether this rank leaves reading the store to the successors: it is not
+// one of them, and its group has a coordinator.
+func (r *Server) isStandby() bool {
 	label := r.world.getLabel()
-	return label != nil && !r.heir() && clock.Since(r.groups.Heard(label.Group)) < heirPatience
+	return label != nil && !r.isSuccessor() && clock.Since(r.groups.Heard(label.Group)) < coordinatorWaitLimit
 }
--- a/agent/rankserver/list.go
+++ b/agent/rankserver/list.go
@@ -11,27 +11,28 @@
 	"baywall.example/core/wait"
 )
 
-// followList keeps the addresses at which other agents may be heard.
+// followList reads the list of backend servers periodically to keep the addresses of other
+// agents up to date.
 func (r *Server) followList(ctx context.Context) {
 	if r.awaitGroup(ctx) {
-		wait.Sleep(ctx, listInterval) // a list that is read now may be from before all were listed
+		wait.Sleep(ctx, listInterval) // a list read now may be older than the entries of some ranks
 	}
 	known := 0
 	for ctx.Err() == nil {
 		seeds, err := r.readList(ctx)
 		if err != nil {
-			r.log.Warn().Err(err).Int("known", known).Msg("list of backend servers not read")
+			r.log.Warn().Err(err).Int("known", known).Msg("failed to read the list of backend servers")
 		} else if len(seeds) > 0 {
 			known = len(seeds)
-			r.expected.Store(&seeds)
-			r.expect()
+			r.agentAddresses.Store(&seeds)
+			r.updateSeeds()
 		}
 		period := listInterval
 		switch {
 		case known == 0:
 			period = startInterval
-		case r.rests():
-			period = restInterval
+		case r.isStandby():
+			period = standbyInterval
 		case len(r.world.Groups()) > 0:
 			period = completeInterval
 		}
@@ -41,27 +42,28 @@
 	}
 }
 
-// awaitGroup waits until the rank's group was formed, unless this rank is an heir, which looks
-// for the others: until then nobody opens a link to it, and its backend servers are not all
-// listed. Each rank of a fleet that starts together would read the list again and again. It
-// reports whether the group is a new one.
+// awaitGroup waits until the rank's group is formed or startWaitLimit has passed, and reports
+// whether the group is a new one. A successor does not wait, because it looks for the others. For
+// another rank, no agent opens a link to it before then, and the backend servers of the group are
+// not all listed; without the wait, every rank of a fleet that starts at once would read the list
+// repeatedly.
 func (r *Server) awaitGroup(ctx context.Context) (formed bool) {
 	began := clock.Now()
-	for !r.heir() && r.world.getLabel() == nil && clock.Since(began) < startPatience {
+	for !r.isSuccessor() && r.world.getLabel() == nil && clock.Since(began) < startWaitLimit {
 		if !wait.Sleep(ctx, formingInterval) {
 			return false
 		}
 	}
-	return !r.heir() && clock.Since(began) >= labelTime
+	return !r.isSuccessor() && clock.Since(began) >= labelDeadline
 }
 
-// expect tells the node at which addresses agents may be heard. An heir looks for them;
-// the others are found by the heirs.
-func (r *Server) expect() {
-	addresses := r.expected.Load()
+// updateSeeds passes the addresses of other agents to the node. A successor contacts them; the
+// other ranks only accept links from them, since the successors find them.
+func (r *Server) updateSeeds() {
+	addresses := r.agentAddresses.Load()
 	switch {
 	case addresses == nil:
-	case r.heir():
+	case r.isSuccessor():
 		r.node.SetSeeds(*addresses)
 	default:
 		r.node.Expect(*addresses)
@@ -91,9 +93,9 @@
 	return out, nil
 }
 
-// readEngine reads the shape of the service's engines until it is known.
+// readEngine reads the description of the service's engines from the store until it succeeds.
 func (r *Server) readEngine(ctx context.Context) {
-	for began := clock.Now(); !r.heir() && (clock.Since(began) < startPatience || r.rests()); {
+	for began := clock.Now(); !r.isSuccessor() && (clock.Since(began) < startWaitLimit || r.isStandby()); {
 		if !wait.Sleep(ctx, formingInterval) {
 			return
 		}
@@ -102,10 +104,10 @@
 		e, err := r.fetchEngine(ctx)
 		if err == nil {
 			r.world.setEngine(e)
-			r.log.Info().Int("layers", e.Layers).Int("experts", e.Experts).Int("slots", e.SlotsPerRank).Msg("engine known")
+			r.log.Info().Int("layers", e.Layers).Int("experts", e.Experts).Int("slots", e.SlotsPerRank).Msg("engine configuration read")
 			return
 		}
-		r.log.Warn().Err(err).Msg("configuration of the engine not read")
+		r.log.Warn().Err(err).Msg("failed to read the engine configuration")
 		if !wait.Sleep(ctx, startInterval) {
 			return
 		}
--- a/agent/rankserver/report.go
+++ b/agent/rankserver/report.go
@@ -9,33 +9,34 @@
 	"baywall.example/core/clock"
 )
 
-// reader is the own rank with a look at each of its reports, whoever asked for it: a
-// coordinator's polls bring several a second, and each costs the process a call.
-type reader struct {
+// observedRank wraps the local rank's API and passes on every report that is read through it.
+// The polls of a coordinator bring several reports per second, so the agent need not spend
+// calls of its own on them.
+type observedRank struct {
 	rank.API
-	// seen is told of each report, or of the error in its place, one at a time.
-	seen func(rank.Report, error)
+	// onReport is called with each report, or the error in its place, one at a time.
+	onReport func(rank.Report, error)
 
-	mu   sync.Mutex
-	last time.Time // when it last answered or failed
+	mu         sync.Mutex
+	lastReport time.Time // when the rank last answered or failed
 }
 
 // Report returns the rank's state.
-func (r *reader) Report(ctx context.Context) (rank.Report, error) {
+func (r *observedRank) Report(ctx context.Context) (rank.Report, error) {
 	report, err := r.API.Report(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil && ctx.Err() != nil {
-		return report, err // given up by who asked, which says nothing about the rank
+		return report, err // canceled by the caller, which is no failure of the rank
 	}
-	r.last = clock.Now()
-	r.seen(report, err)
+	r.lastReport = clock.Now()
+	r.onReport(report, err)
 	return report, err
 }
 
 // age returns how long ago the rank last answered or failed.
-func (r *reader) age(now time.Time) time.Duration {
+func (r *observedRank) age(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now.Sub(r.last)
+	return now.Sub(r.lastReport)
 }
--- a/agent/rankserver/report_test.go
+++ b/agent/rankserver/report_test.go
@@ -11,14 +11,14 @@
 	"baywall.example/agent/rank"
 )
 
-// scriptedRank answers its report with an error, or waits for the caller to give up.
-type scriptedRank struct {
+// fakeRank answers with a report and err, or blocks until the caller cancels.
+type fakeRank struct {
 	rank.API
 	err  error
 	hang bool
 }
 
-func (r *scriptedRank) Report(ctx context.Context) (rank.Report, error) {
+func (r *fakeRank) Report(ctx context.Context) (rank.Report, error) {
 	if r.hang {
 		<-ctx.Done()
 		return rank.Report{}, ctx.Err()
@@ -26,19 +26,19 @@
 	return rank.Report{Group: "g", Open: true}, r.err
 }
 
-// A call that its caller gives up, as a poll of a coordinator in a hurry, must not make
-// the rank look lost.
-func TestWhatACallerGivesUpSaysNothingAboutTheRank(t *testing.T) {
+// A call that its caller cancels, such as a coordinator's poll with a short timeout, must
+// not count as a failure of the rank.
+func TestCanceledReportDoesNotMarkTheRankLost(t *testing.T) {
 	is := is.New(t)
-	engine := &scriptedRank{}
+	engine := &fakeRank{}
 	reports, failures := 0, 0
-	r := &reader{API: engine, seen: func(_ rank.Report, err error) {
+	r := &observedRank{API: engine, onReport: func(_ rank.Report, err error) {
 		reports++
 		if err != nil {
 			failures++
 		}
 	}}
-	is.True(r.age(time.Now()) > time.Hour) // never asked
+	is.True(r.age(time.Now()) > time.Hour) // never read
 	_, err := r.Report(t.Context())
 	is.NoErr(err)
 	is.True(r.age(time.Now()) < time.Minute)
--- a/agent/rankserver/server.go
+++ b/agent/rankserver/server.go
@@ -32,43 +32,44 @@
 var ErrStart = eris.New("rankserver: cannot start")
 
 const (
-	// labelInterval is how often the own rank is asked for its group where nobody else
-	// asks it anything.
+	// labelInterval is how often the local rank's report is read if no other reader
+	// of this process reads it.
 	labelInterval = 150 * time.Millisecond
-	// formingInterval is the same while the group is being formed, and how often it is
-	// looked then whether this rank may coordinate it: until it has a coordinator, its
-	// map is the initial one.
+	// formingInterval is the same while the rank is in no formed group, and how often
+	// the agent then checks whether its rank is a successor. It is short because a new
+	// group uses the initial map until it has a coordinator.
 	formingInterval = 50 * time.Millisecond
-	// listInterval is how often the addresses of the service's backend servers
-	// are read. Stale lists do, as the group is checked rank by rank.
+	// listInterval is how often the list of the service's backend servers is read. A
+	// stale list is good enough, because the group is checked rank by rank.
 	listInterval = 3 * time.Second
-	// completeInterval is the same while all agents of the group are heard.
+	// completeInterval is the same while the agents of all ranks of the group are live.
 	completeInterval = 12 * time.Second
-	// restInterval is the same for a rank that coordinates nothing.
-	restInterval = time.Minute
-	// startInterval is how often they, and the configuration, are read until
+	// standbyInterval is the same for a rank on standby, see isStandby.
+	standbyInterval = time.Minute
+	// startInterval is how often the list and the configuration are read until
 	// something is found.
 	startInterval = 400 * time.Millisecond
-	// heartbeatPerPeer is how the interval between heartbeats grows with the
-	// agents of a service: what changes is announced at once.
+	// heartbeatPerPeer is how much the heartbeat interval grows with each agent of a
+	// service. Long intervals do no harm, because changes are announced at once.
 	heartbeatPerPeer = 30 * time.Millisecond
-	// heirPatience is how long a rank that is no heir of the group's coordinator leaves
-	// the store alone while it hears one.
-	heirPatience = 5 * time.Second
-	// startPatience is the same after a start: the group may be formed, and its
-	// configuration published, only after a while.
-	startPatience = 15 * time.Second
-	// labelTime is within which an agent knows its rank's group that was formed before the
-	// agent started.
-	labelTime = time.Second
-	// callTimeout bounds a call to the own engine or the store.
+	// coordinatorWaitLimit is how long after the last contact with the group's
+	// coordinator a rank that is no successor stays on standby.
+	coordinatorWaitLimit = 5 * time.Second
+	// startWaitLimit is how long such a rank waits after a start before it reads the
+	// store: the group may be formed, and its configuration published, only after a
+	// while.
+	startWaitLimit = 15 * time.Second
+	// labelDeadline is the time after the start of an agent within which it learns of a
+	// group that was formed earlier. A group that appears later is new.
+	labelDeadline = time.Second
+	// callTimeout bounds a call to the local engine or the store.
 	callTimeout = 2 * time.Second
-	// debugTimeout bounds reading the header of a request for metrics.
+	// debugTimeout bounds reading the header of a metrics request.
 	debugTimeout = 5 * time.Second
 )
 
-// groupTiming is quick, as demand shifts every few seconds and a pass of the
-// group takes some tens of milliseconds.
+// groupTiming has short intervals, because demand shifts every few seconds and a pass of
+// the group takes some tens of milliseconds.
 var groupTiming = group.Timing{
 	NoWait:   true,
 	Election: 600 * time.Millisecond, First: 100 * time.Millisecond, Stagger: 150 * time.Millisecond, LateStagger: 25 * time.Millisecond,
@@ -82,17 +83,17 @@
 type Adapter interface {
 	// Name names the adapter in logs.
 	Name() string
-	// Store returns the client of the store at an IP:port.
+	// Store returns a client of the store at an IP:port.
 	Store(address string, log zerolog.Logger) source.Store
-	// CatalogKey is the key of the configuration, BackendsPrefix that of the
-	// list of backend servers.
+	// CatalogKey is the store key of the configuration, BackendsPrefix the key prefix
+	// of the list of backend servers.
 	CatalogKey() string
 	BackendsPrefix() string
-	// DecodeEngine returns what a configuration says about a service's engines.
+	// DecodeEngine returns the description of a service's engines in a configuration.
 	DecodeEngine(raw []byte, service string) (Engine, error)
-	// DecodeAddress returns service and address of an entry of the list.
+	// DecodeAddress returns the service and address of an entry in the list.
 	DecodeAddress(key string, raw []byte) (service, address string, err error)
-	// InitialMap returns the map that a group of ranks begins with.
+	// InitialMap returns the expert map that a newly formed group uses.
 	InitialMap(s expertmap.Shape) expertmap.Map
 	// Rank returns the rank at an IP:port.
 	Rank(address string) rank.API
@@ -100,26 +101,26 @@
 
 // Server is the process of a rank's agent. It implements process.Service.
 type Server struct {
-	settings    Settings
-	adapter     Adapter
-	log         zerolog.Logger
-	lines       *process.LogWriter
-	incarnation vm.Incarnation
-	api         *reader
-	store       source.Store
-	node        *cluster.Node
-	world       *world
-	recorder    *timeline.Recorder
-	local       *link.Local
-	pool        *link.Pool
-	groups      *group.Set
-	traffic     atomic.Int64
-	set         *metrics.Set
-	slow        bool      // what gateways were told last, by noteReport
-	formed      time.Time // when the own rank's group was formed, by noteReport
-	closed      bool      // the own rank was seen to be in no formed group, by noteReport
-	isHeir      atomic.Bool
-	expected    atomic.Pointer[[]string] // where agents may be heard
+	settings       Settings
+	adapter        Adapter
+	log            zerolog.Logger
+	lines          *process.LogWriter
+	incarnation    vm.Incarnation
+	api            *observedRank
+	store          source.Store
+	node           *cluster.Node
+	world          *world
+	recorder       *timeline.Recorder
+	local          *link.Local
+	pool           *link.Pool
+	groups         *group.Set
+	traffic        atomic.Int64
+	set            *metrics.Set
+	slow           bool      // as last reported to gateways; set by applyReport
+	formed         time.Time // when the local rank's group was formed; set by applyReport
+	ungrouped      bool      // the local rank's last report was of no formed group; set by applyReport
+	successor      atomic.Bool
+	agentAddresses atomic.Pointer[[]string] // where other agents are expected
 
 	listener net.Listener
 	debug    *http.Server
@@ -127,15 +128,15 @@
 	cancel   context.CancelFunc
 }
 
-// New returns an agent that is not yet started.
+// New returns an agent that is not started yet.
 func New(s Settings, a Adapter, log zerolog.Logger, lines *process.LogWriter, now time.Time) (*Server, error) {
 	id := vm.ID(s.VM)
 	r := &Server{
 		settings: s, adapter: a, log: log, lines: lines, incarnation: vm.NewIncarnation(now),
-		api: &reader{API: a.Rank(s.Engine)}, store: a.Store(s.Store, log),
+		api: &observedRank{API: a.Rank(s.Engine)}, store: a.Store(s.Store, log),
 		recorder: timeline.NewRecorder(id, timeline.DefaultCapacity, log), set: metrics.NewSet(),
 	}
-	r.api.seen = r.noteReport
+	r.api.onReport = r.applyReport
 	node, err := cluster.NewNode(s.Listen.Peers, nil, heartbeatPerPeer, r.self, log)
 	if err != nil {
 		return nil, eris.Wrapf(ErrStart, "%v", err)
@@ -153,7 +154,7 @@
 	r.groups = group.NewSet(group.Environment{
 		VM: id, Incarnation: r.incarnation, Engine: rank.NewEngine(r.api, r.world.shape, log),
 		Pool: r.pool, World: r.world, Recorder: r.recorder, Log: log, Timing: timing, InitialMap: a.InitialMap,
-		AskHold: r.askHold,
+		AskHold: r.requestHold,
 	})
 	r.set.NewGauge("baywall_peers", func() float64 { return float64(len(node.Live())) })
 	r.set.NewGauge("baywall_link_bytes", func() float64 { return float64(r.traffic.Load()) })
@@ -165,11 +166,11 @@
 	return cluster.Self{
 		VM: vm.ID(r.settings.VM), Incarnation: r.incarnation, Zone: r.settings.Zone,
 		Address: r.settings.Listen.Peers, Ready: true, Rank: r.world.getLabel(),
-		Activity: cluster.Activity{Active: r.heir()},
+		Activity: cluster.Activity{Active: r.isSuccessor()},
 	}
 }
 
-// Start listens and begins to take part in the group.
+// Start opens the listeners and starts taking part in the group.
 func (r *Server) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
@@ -214,14 +215,14 @@
 	return nil
 }
 
-// Stop ends the agent at once: it carries no requests, and a switch that it
-// takes part in is finished by what the ranks themselves remember.
+// Stop ends the agent at once: it carries no requests, and a map switch in progress is
+// finished from the state that the ranks themselves keep.
 func (r *Server) Stop(context.Context) error {
 	r.cancel()
 	r.pool.Close()
-	_ = r.listener.Close() // nothing more is taken
+	_ = r.listener.Close() // no further links are accepted
 	if r.debug != nil {
-		_ = r.debug.Close() // nothing more is taken
+		_ = r.debug.Close() // no further requests are served
 	}
 	r.run.Wait()
 	r.log.Info().Msg("left")
@@ -229,8 +230,8 @@
 	return nil
 }
 
-// Reload looks at a changed settings file. None of an agent's settings can be
-// taken over while it runs; the log says so, or that the file is not valid.
+// Reload checks a changed settings file. No setting of an agent can change while it runs,
+// so Reload only logs whether a restart is needed or that the file is invalid.
 func (r *Server) Reload(path string, raw []byte) {
 	var next Settings
 	if err := settings.Parse(path, raw, &next); err != nil {
@@ -240,7 +241,7 @@
 	r.log.Info().Bool("restart_needed", !reflect.DeepEqual(next, r.settings)).Msg("settings reloaded")
 }
 
-// ServeStream handles one call of another agent.
+// ServeStream handles one call from another agent.
 func (r *Server) ServeStream(ctx context.Context, from *link.Link, s *link.Stream, call *wire.Call) {
 	relay, ok := call.GetBody().(*wire.Call_SwitchRelay)
 	if !ok {
@@ -251,6 +252,6 @@
 		return s.SendReply(&wire.Reply{Body: &wire.Reply_SwitchRelay{SwitchRelay: reply}})
 	})
 	if err != nil {
-		r.log.Info().Err(err).Str("peer", string(from.Remote)).Msg("replies to an order not sent")
+		r.log.Info().Err(err).Str("peer", string(from.Remote)).Msg("failed to send replies to a switch order")
 	}
 }
--- a/agent/rankserver/settings.go
+++ b/agent/rankserver/settings.go
@@ -13,56 +13,56 @@
 	VM string `yaml:"vm"`
 	// Zone is the availability zone of this VM. Required.
 	Zone string `yaml:"zone"`
-	// Service is the service of the backend server beside the agent. Required.
+	// Service is the service of the backend server on this VM. Required.
 	Service string `yaml:"service"`
 	// Engine is the IP:port of the backend server. Required.
 	Engine string `yaml:"engine"`
-	// Listen are the addresses that the process listens on.
+	// Listen holds the addresses that the process listens on.
 	Listen ListenSettings `yaml:"listen"`
-	// Store is where configuration and backend servers are read, IP:port.
-	// Required.
+	// Store is the IP:port of the store with the configuration and the list of
+	// backend servers. Required.
 	Store string `yaml:"store"`
-	// Gateways are gateways, IP:port of their heartbeats, that are told when the rank
-	// is slow. Default none.
+	// Gateways are the IP:port at which gateways take heartbeats. Slowdowns of the
+	// rank are reported to them. Default none.
 	Gateways []string `yaml:"gateways"`
-	// Machine tells what this VM may use.
+	// Machine limits what the agent uses of this VM.
 	Machine MachineSettings `yaml:"machine"`
-	// Planner tells how maps are planned.
+	// Planner configures the planning of expert maps.
 	Planner PlannerSettings `yaml:"planner"`
 	// LogLevel is one of debug, info, warn, error. Default info.
 	LogLevel string `yaml:"log_level"`
 }
 
-// ListenSettings are addresses, IP:port each.
+// ListenSettings are the listen addresses, each an IP:port.
 type ListenSettings struct {
-	// Peers takes heartbeats (UDP) and links (TCP) of other agents, which have
-	// the same port. Required.
+	// Peers takes heartbeats (UDP) and links (TCP) from other agents, which must
+	// use the same port. Required.
 	Peers string `yaml:"peers"`
-	// Metrics serves counters as text. Default none.
+	// Metrics serves metrics as text. Default none.
 	Metrics string `yaml:"metrics"`
 }
 
-// MachineSettings tell what the VM may use.
+// MachineSettings limit what the agent uses of its VM.
 type MachineSettings struct {
-	// LinkMbps is the speed of the VM's link in Mbit/s, of which a coordinator takes a
+	// LinkMbps is the speed of the VM's link in Mbit/s, of which a coordinator uses a
 	// tenth. From 0 to 1000000, default 0: unbounded.
 	LinkMbps float64 `yaml:"link_mbps"`
 }
 
-// bytesPerMbit turns Mbit/s into bytes a second.
+// bytesPerMbit converts Mbit/s to bytes per second.
 const bytesPerMbit = 1e6 / 8
 
-// PlannerSettings tell how maps are planned.
+// PlannerSettings are the settings of the map planner.
 type PlannerSettings struct {
 	// Period is the time between two plans. From 20ms to 1h, default 30ms: a plan
 	// follows each pass of the group.
 	Period time.Duration `yaml:"period"`
-	// MoveCost is the skew, as a mean over all layers, that copying one gigabyte
-	// for each rank must be worth at a usual batch. From 0 to 10, default 0.05:
-	// found by runs on groups of 8 ranks with experts of 1.7 GB.
+	// MoveCost is the reduction of the skew, as a mean over all layers, that copying
+	// one gigabyte per rank must bring at a usual batch. From 0 to 10, default 0.05,
+	// measured on groups of 8 ranks with experts of 1.7 GB.
 	MoveCost float64 `yaml:"move_cost"`
-	// CopyTime bounds the time for which a rank copies experts for one switch.
-	// From 10ms to 1m, default 160ms.
+	// CopyTime bounds how long a rank copies experts for one switch. From 10ms to
+	// 1m, default 160ms.
 	CopyTime time.Duration `yaml:"copy_time"`
 }
 
@@ -80,7 +80,7 @@
 	s.LogLevel = settings.Or(s.LogLevel, "info")
 }
 
-// Validate fills in the defaults and returns every wrong value.
+// Validate fills in the defaults and returns every invalid value.
 func (s *Settings) Validate() []settings.Problem {
 	s.Provision()
 	var c settings.Checks
--- a/agent/rankserver/settings_test.go
+++ b/agent/rankserver/settings_test.go
@@ -9,7 +9,7 @@
 	"baywall.example/core/settings"
 )
 
-func TestSettingsNameTheWrongField(t *testing.T) {
+func TestSettingsErrorNamesTheField(t *testing.T) {
 	const valid = `
 vm: side-1
 zone: a
--- a/agent/rankserver/world.go
+++ b/agent/rankserver/world.go
@@ -13,7 +13,7 @@
 	"baywall.example/core/vm"
 )
 
-// Engine is what a service's configuration says about its model engines.
+// Engine describes the model engines of a service, as configured.
 type Engine struct {
 	Layers, Experts, SlotsPerRank int
 	MaxNewExperts                 int     // per layer in one preparation
@@ -21,27 +21,27 @@
 	LinkBytesPerSec               float64 // at which a rank copies experts
 }
 
-// world builds the group of this rank from what the agents of its ranks say.
-// It implements group.World.
+// world assembles the group of this rank from the labels that the agents of its ranks
+// announce. It implements group.World.
 type world struct {
 	settings Settings
 	live     func() []cluster.Peer
 
-	mu     sync.Mutex
-	self   vm.VM
-	label  *cluster.RankLabel // of this rank, nil = not known
-	engine Engine             // as published
-	told   expertmap.Shape    // of the engines, as a coordinator said
-	group  *resource.Group    // as last returned
-	epoch  uint64
-	looked time.Time // when it was put together
+	mu            sync.Mutex
+	self          vm.VM
+	label         *cluster.RankLabel // of this rank, nil = unknown or in no formed group
+	engine        Engine             // from the configuration
+	reportedShape expertmap.Shape    // of the engines, as reported by a coordinator
+	group         *resource.Group    // as last returned
+	epoch         uint64
+	assembledAt   time.Time // when group was last assembled
 }
 
 func (w *world) setLabel(label *cluster.RankLabel) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if label == nil || w.label == nil || *label != *w.label {
-		w.looked = time.Time{}
+		w.assembledAt = time.Time{}
 	}
 	w.label = label
 }
@@ -62,33 +62,33 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.engine.Experts == 0 {
-		return rank.Shape{Layers: w.told.Layers, Experts: w.told.Experts, Slots: w.told.Slots}
+		return rank.Shape{Layers: w.reportedShape.Layers, Experts: w.reportedShape.Experts, Slots: w.reportedShape.Slots}
 	}
 	return rank.Shape{Layers: w.engine.Layers, Experts: w.engine.Experts, Slots: w.engine.SlotsPerRank}
 }
 
-// Learn takes over the shape of the group's engines, as its coordinator says: a rank
-// that coordinates nothing need not read the configuration.
+// Learn stores the shape of the group's engines that its coordinator reports, so that a
+// rank that does not coordinate need not read the configuration.
 func (w *world) Learn(shape expertmap.Shape) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.told = shape
+	w.reportedShape = shape
 }
 
-// lookInterval is how often the group is put together from what agents say, which
-// takes a tenth of a millisecond with 192 of them.
-const lookInterval = 60 * time.Millisecond
+// assembleInterval is how long an assembled group is returned before it is assembled again,
+// which takes 0.1 ms with 192 agents.
+const assembleInterval = 60 * time.Millisecond
 
-// Groups returns the group of this rank while all its ranks' agents are heard.
+// Groups returns the group of this rank while the agents of all its ranks are live.
 func (w *world) Groups() map[string]*resource.Group {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.label == nil || w.engine.Experts == 0 {
 		return nil
 	}
-	if now := clock.Now(); now.Sub(w.looked) >= lookInterval {
-		w.looked = now
-		w.look()
+	if now := clock.Now(); now.Sub(w.assembledAt) >= assembleInterval {
+		w.assembledAt = now
+		w.assemble()
 	}
 	if w.group == nil {
 		return nil
@@ -96,8 +96,9 @@
 	return map[string]*resource.Group{w.label.Group: w.group}
 }
 
-// look puts the group together.
-func (w *world) look() {
+// assemble updates the group from the labels of the live agents. The group is nil if a rank
+// is missing.
+func (w *world) assemble() {
 	ranks, ok := w.ranks(w.live())
 	if !ok {
 		w.group = nil
@@ -108,7 +109,7 @@
 	}
 }
 
-// ranks returns the VMs of the group's ranks in rank order.
+// ranks returns the VMs of the group's ranks in rank order, and false if one is missing.
 func (w *world) ranks(live []cluster.Peer) ([]vm.ID, bool) {
 	out := make([]vm.ID, w.label.Size)
 	put := func(id vm.ID, l *cluster.RankLabel) {
@@ -135,7 +136,7 @@
 	return g
 }
 
-// Intent returns how this agent's settings want maps to be planned.
+// Intent returns the planning parameters from this agent's settings.
 func (w *world) Intent(service string) resource.Intent {
 	i := resource.Intent{Service: service}
 	i.Provision()
@@ -144,8 +145,9 @@
 	return i
 }
 
-// moveCost returns the skew of one layer that one move of an expert must be
-// worth: a larger group shares the copies, and more layers share the skew.
+// moveCost returns the reduction of one layer's skew that the move of one expert must bring.
+// It falls with the size of the group, whose ranks share the copies, and grows with the
+// number of layers, over which the skew is averaged.
 func (w *world) moveCost() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -156,7 +158,7 @@
 	return w.settings.Planner.MoveCost * gigabytes * float64(w.engine.Layers) / float64(w.label.Size)
 }
 
-// Find returns the VM of a rank that is heard.
+// Find returns the VM of a rank, without an address if its agent is not live.
 func (w *world) Find(id vm.ID) vm.VM {
 	for _, p := range w.live() {
 		if p.VM == id {
--- a/agent/rankserver/world_test.go
+++ b/agent/rankserver/world_test.go
@@ -14,26 +14,26 @@
 	return cluster.Peer{VM: vm.ID(id), Address: id, Rank: &cluster.RankLabel{Group: "g", Epoch: epoch, Rank: rank, Size: 3}}
 }
 
-func TestAGroupIsCompleteWithAllRanksOfOneEpoch(t *testing.T) {
+func TestGroupIsCompleteWithAllRanksOfOneEpoch(t *testing.T) {
 	is := is.New(t)
 	var live []cluster.Peer
 	w := &world{live: func() []cluster.Peer { return live }, self: vm.VM{ID: "a"}}
-	is.Equal(len(w.Groups()), 0) // own rank not known
+	is.Equal(len(w.Groups()), 0) // the local rank is not known
 	w.setLabel(&cluster.RankLabel{Group: "g", Epoch: 2, Rank: 1, Size: 3})
 	w.setEngine(Engine{Layers: 6, Experts: 64, SlotsPerRank: 11, ExpertBytes: 1.7e9, LinkBytesPerSec: 11.5e9})
 	live = []cluster.Peer{peer("b", 2, 0), peer("c", 1, 2)}
 	is.Equal(len(w.Groups()), 0) // one rank is of an earlier epoch
 	live = []cluster.Peer{peer("b", 2, 0), peer("c", 2, 2)}
-	w.looked = time.Time{} // some time later
+	w.assembledAt = time.Time{} // make the next call assemble the group
 	group := w.Groups()["g"]
 	is.Equal(group.Ranks, []vm.ID{"b", "a", "c"})
-	is.True(w.Groups()["g"] == group) // the same while nothing changes
+	is.True(w.Groups()["g"] == group) // the same pointer while nothing changes
 	w.setLabel(&cluster.RankLabel{Group: "g", Epoch: 3, Rank: 1, Size: 3})
 	live = []cluster.Peer{peer("b", 3, 0), peer("c", 3, 2)}
 	is.True(w.Groups()["g"] != group)
 }
 
-func TestThePriceOfAMoveFollowsTheGroupsSize(t *testing.T) {
+func TestMoveCostDependsOnGroupSize(t *testing.T) {
 	is := is.New(t)
 	w := &world{settings: Settings{Planner: PlannerSettings{MoveCost: 0.1}}}
 	w.setLabel(&cluster.RankLabel{Size: 8})
