--- a/agent/rank/engine.go
+++ b/agent/rank/engine.go
@@ -28,7 +28,7 @@
 const (
 	// answerTimeout is how long to wait for the answer to an order. The engine is
 	// on the same VM, so the answer comes within a few milliseconds or never, and
-	// the group may be waiting for the order.
+	// the group may be waiting meanwhile.
 	answerTimeout = 30 * time.Millisecond
 	// maxTries is how often an order is sent before it is left to the next call to
 	// settle it: with half of the answers lost, one order in 65,000 needs more.
@@ -46,7 +46,7 @@
 )
 
 // Engine drives one rank's expert map. It implements mapswitch.Engine and is
-// safe for concurrent use; orders are given one at a time.
+// safe for concurrent use; orders are sent one at a time.
 type Engine struct {
 	api   API
 	shape func() Shape
@@ -62,7 +62,7 @@
 	placement Placement
 }
 
-// Shape is the dimensions of a group's expert maps.
+// Shape holds the dimensions of a group's expert maps.
 type Shape struct {
 	Layers, Experts, Slots int // Slots is per rank and layer
 }
@@ -247,7 +247,7 @@
 			break
 		}
 	}
-	e.loading.CompareAndSwap(version, 0) // the next order is sent again, which does no harm
+	e.loading.CompareAndSwap(version, 0) // so that load sends the order again, which does no harm
 	return engine.ExpertState{}, ErrLoading
 }
 
--- a/agent/rankserver/hold.go
+++ b/agent/rankserver/hold.go
@@ -14,10 +14,10 @@
 
 // requestHold asks gateways to make the rank on a VM hold a step. It assumes the local engine's
 // port, because the engines of a service listen on the same port on all VMs.
-func (r *Server) requestHold(of vm.VM, epoch, step uint64) {
-	host, _, err := net.SplitHostPort(of.Link)
+func (r *Server) requestHold(target vm.VM, epoch, step uint64) {
+	host, _, err := net.SplitHostPort(target.Link)
 	if err != nil {
-		r.log.Warn().Err(err).Str("rank", string(of.ID)).Msg("cannot request a hold: address of the rank is unknown")
+		r.log.Warn().Err(err).Str("rank", string(target.ID)).Msg("cannot request a hold: address of the rank is unknown")
 		return
 	}
 	_, port, _ := net.SplitHostPort(r.settings.Engine) // validated
--- a/agent/rankserver/list.go
+++ b/agent/rankserver/list.go
@@ -42,11 +42,10 @@
 	}
 }
 
-// awaitGroup waits until the rank's group is formed or startWaitLimit has passed, and reports
-// whether the group is a new one. A successor does not wait, because it looks for the others. For
-// another rank, no agent opens a link to it before then, and the backend servers of the group are
-// not all listed; without the wait, every rank of a fleet that starts at once would read the list
-// repeatedly.
+// awaitGroup waits until the rank's group is formed, at most for startWaitLimit, and reports
+// whether the group is a new one. Before then no agent opens a link to this rank, and the list
+// does not contain all backend servers of the group, so every rank of a fleet that starts at once
+// would read it repeatedly. A successor does not wait, because it has to find the other ranks.
 func (r *Server) awaitGroup(ctx context.Context) (formed bool) {
 	began := clock.Now()
 	for !r.isSuccessor() && r.world.getLabel() == nil && clock.Since(began) < startWaitLimit {
--- a/agent/rankserver/server.go
+++ b/agent/rankserver/server.go
@@ -28,7 +28,7 @@
 	"baywall.example/core/zone"
 )
 
-// ErrStart means that the agent could not begin to serve.
+// ErrStart means that the agent could not start.
 var ErrStart = eris.New("rankserver: cannot start")
 
 const (
--- a/agent/server/server.go
+++ b/agent/server/server.go
@@ -36,7 +36,7 @@
 )
 
 // ErrStart means that the agent could not start.
-var ErrStart = eris.New("agent: start")
+var ErrStart = eris.New("agent: cannot start")
 
 // Server is one agent process.
 type Server struct {
