--- a/agent/server/notice.go
+++ b/agent/server/notice.go
@@ -51,7 +51,7 @@
 	if n.Rest > 0 {
 		until, before := noticeState.Rest(now.Add(n.Rest), now)
 		a.log.Info().Str("request", id.String()).Dur("rest", n.Rest).Dur("left_out", until.Sub(now)).Bool("rested", before).
-			Msg("backend server requested a backoff")
+			Msg("backend server asks for rest")
 	}
 	if n.Leaving && noticeState.Leave(notice.FromAnswer) {
 		a.log.Info().Str("request", id.String()).Str("source", string(notice.FromAnswer)).Msg("backend server drains")
