--- a/core/source/doc.go
+++ b/core/source/doc.go
@@ -1,17 +1,16 @@
-// Package source follows what operators and backend servers publish in a
-// read-only store with revisions and watches.
+// Package source follows what operators and backend servers publish in a read-only store
+// with revisions and watches.
 //
-// A Follower lists a prefix once and then watches it. Where the store has
-// dropped the history that a watch asks for, it lists again. What it delivers
-// never goes back: positions are compared by the store's era and its revision,
-// and where the store is back from an older copy of itself, Rules tell which
-// entries are known better than it lists them. These are kept, and told to other
-// followers, until they are written anew. After a time in which the store did
-// not answer, or came back, entries that are missing may be on their way back,
-// and what is delivered says for how long.
+// A Follower lists a prefix once and then watches it. It lists again where the store has
+// dropped the history that a watch needs. The state it delivers never goes back:
+// positions are compared by the store's term and revision, and after the store was
+// restored from an older copy, Rules decide which entries are known in a newer version
+// than the store lists. The follower retains these, and shares them with other followers,
+// until they are written again. After an outage or a restore of the store, missing
+// entries may be about to reappear; each update says for how long.
 //
-// Load pattern: all processes of a fleet follow one store that bears few calls a
-// second. So no answer is followed by a call without a pause (pacing.go), few
-// followers lead and the others rest on them (Duty), and what one hears it offers to
-// the others (offers.go).
+// Load pattern: all processes of a fleet follow one store that can take only a few calls
+// a second. Therefore no answer is followed by a call without a pause (pacing.go), few
+// followers lead and the others rely on them (the follower's role), and each follower
+// offers what it learns to the others (offers.go).
 package source
--- a/core/source/follower.go
+++ b/core/source/follower.go
@@ -14,49 +14,54 @@
 )
 
 const (
-	// watchSlack is how much longer than the wait an answer may take: a store that is slow
-	// answers in some 350 ms.
+	// watchSlack is how much longer than the requested wait a watch may take: a slow
+	// store answers in about 350 ms.
 	watchSlack = time.Second
-	// failingWait and failingSlack are the same while the store does not answer: a call that
-	// arrives while it is silent gets no answer, and it may be back a moment later. A whole
-	// wait held what was written after the return up for 1.7 s.
+	// failingWait and failingSlack replace the wait and slack while the store does not
+	// answer: a call that arrives during an outage gets no answer even if the store is
+	// back a moment later. With a full wait, changes written after the recovery were
+	// delayed by 1.7 s.
 	failingWait  = 100 * time.Millisecond
 	failingSlack = 500 * time.Millisecond
-	// listTimeout bounds a list; the store answers in milliseconds, in some
-	// seconds when it is slow.
+	// listTimeout bounds a list. The store answers in milliseconds, or in some seconds
+	// when it is slow.
 	listTimeout = 4 * time.Second
-	// recoveryTime is how long after an outage live entries may still be
-	// missing: they are back within about two seconds.
+	// recoveryTime is how long live entries may still be missing after an outage: they
+	// are back within about two seconds.
 	recoveryTime = 2200 * time.Millisecond
-	// outageAbsence is for how long an entry that goes missing after an outage is taken for
-	// one that is to come back: one whose writer left on purpose just then looks the same,
-	// and has to be gone two seconds later.
-	outageAbsence = 1500 * time.Millisecond
+	// outageGrace is how long an entry that goes missing after an outage is expected to
+	// come back. An entry whose writer shut down at that moment looks the same, and has
+	// to be gone two seconds later.
+	outageGrace = 1500 * time.Millisecond
 )
 
 var (
-	// errInterrupted means that a call was cut short by a nudge, an offer or the
-	// follower's end: it tells nothing about the store.
+	// errInterrupted means that a call was canceled by a nudge, an offer or the end of
+	// the follower. It says nothing about the store.
 	errInterrupted = errors.New("interrupted")
-	// errReturned means that the store is back from an older copy: a new era has begun.
-	errReturned = errors.New("the store is back from an older copy")
-	// errOlder means an answer of an earlier history than the known one, or a list of an
-	// earlier moment: it was on its way for long, or the store is not the one it was.
-	errOlder = eris.Wrap(ErrUnavailable, "older answer")
-	// errEmpty means that a watch ended long before its time without any event.
-	errEmpty = errors.New("a watch ended early without events")
+	// errRestored means that the store was restored from an older copy and a new term has
+	// begun.
+	errRestored = errors.New("the store was restored from an older copy")
+	// errStale means an answer from an earlier term than the known one, or a list at an
+	// earlier position. The answer was delayed, or the store has been replaced by
+	// another.
+	errStale = eris.Wrap(ErrUnavailable, "older answer")
+	// errEmptyWatch means that a watch ended long before its wait was over and without
+	// any event.
+	errEmptyWatch = errors.New("a watch ended early without events")
 )
 
 // Update is the state of a prefix.
 type Update struct {
 	Items    map[string]Item // by key; the receiver does not change it
-	Position                 // a watch goes on from here
-	// Changed is the position of the newest change that is known.
+	Position                 // from which the next watch continues
+	// Changed is the position of the newest known change.
 	Changed Position
-	// Absence is for how long an entry that is missing may be on its way back, since the
-	// store was away; 0 = it is gone.
+	// Absence is how long a missing entry may still reappear because of an outage or a
+	// restore of the store; 0 means that missing entries are gone.
 	Absence time.Duration
-	// From names the follower that it was taken from, empty = the store itself.
+	// From names the follower that the state was taken from; empty means the store
+	// itself.
 	From string
 }
 
@@ -65,46 +70,46 @@
 	Store  Store
 	Prefix string
 	Log    zerolog.Logger
-	// Deliver takes each state. It is called from one goroutine.
+	// Deliver receives each state. All calls come from one goroutine.
 	Deliver func(Update)
-	// Within is the time within which a change has to be in force. Default 2s.
+	// Within is the time in which a change has to take effect. Default 2s.
 	Within time.Duration
-	// Duty, if not nil, tells the follower's part; else it leads. It is asked before each
-	// call. One that rests takes what others offer.
+	// Duty returns the follower's role and is called before each call to the store; nil
+	// means that the follower leads. A passive follower relies on what others offer.
 	Duty func() Duty
-	// Others returns how many others follow the same store and are heard, nil
-	// means none.
+	// Others returns how many reachable others follow the same store; nil means none.
 	Others func() int
 
-	// Rules tell what is newer where the store is back from an older copy.
+	// Rules decide which version of an entry is newer after the store was restored from
+	// an older copy.
 	Rules Rules
 
-	mu       sync.Mutex
-	cancel   context.CancelFunc // of the call under way
-	armed    time.Duration      // how long that waits
-	nudged   Position           // of the latest nudge
-	offers   []State            // of other followers, not yet looked at
-	wake     chan struct{}      // tells a follower that pauses of an offer
-	latest   State
-	retained uint64 // digest of what is kept
-
-	view      view
-	relist    bool      // its history is lost
-	notBefore time.Time // the next call
-	failing   time.Time // since when, zero = not
-	failures  int
-	odd       int       // answers in a row that brought nothing
-	regained  time.Time // when the latest outage ended
-	absence   time.Duration
-	from      string // whose state it is, empty = the store's
-
-	lastEvent time.Time // when the latest events came
-	inRow     bool      // they came soon after those before
-
-	recent     []Event                   // under mu; the newest last
-	recentFrom Position                  // under mu; they are all after it
-	heard      atomic.Pointer[time.Time] // when the store last answered
-	lost       atomic.Bool               // it did not answer the latest call
+	mu             sync.Mutex
+	cancel         context.CancelFunc // cancels the call in progress
+	callWait       time.Duration      // wait of that call, 0 = it does not wait
+	nudged         Position           // position of the latest nudge
+	offers         []State            // from other followers, not yet processed
+	wake           chan struct{}      // ends a pause when an offer arrives
+	latest         State
+	retainedDigest uint64 // digest of retained and suppressed entries, 0 = none
+
+	view         view
+	relist       bool      // the watch history is lost
+	notBefore    time.Time // earliest time of the next call
+	failingSince time.Time // start of the current outage, zero = none
+	failures     int
+	noProgress   int       // consecutive answers without progress
+	recoveredAt  time.Time // when the latest outage ended
+	missingGrace time.Duration
+	from         string // origin of the state, empty = the store
+
+	lastEvent time.Time // arrival of the latest events
+	inBurst   bool      // they came soon after the previous ones
+
+	recent      []Event                   // guarded by mu, newest last
+	recentFrom  Position                  // guarded by mu, position before the events in recent
+	lastAnswer  atomic.Pointer[time.Time] // time of the store's last answer
+	unavailable atomic.Bool               // the store did not answer the latest call
 }
 
 // Run follows until the context ends.
@@ -112,12 +117,12 @@
 	f.view.rules = f.Rules
 	for ctx.Err() == nil {
 		f.adopt()
-		f.reveal(clock.Now())
-		if idle := f.idle(clock.Now()); idle > 0 {
-			f.pause(ctx, idle)
+		f.releaseSuppressed(clock.Now())
+		if callDelay := f.callDelay(clock.Now()); callDelay > 0 {
+			f.pause(ctx, callDelay)
 			continue
 		}
-		err := f.next(ctx)
+		err := f.callStore(ctx)
 		if ctx.Err() == nil {
 			now := clock.Now()
 			f.notBefore = now.Add(f.pauseAfter(err, now))
@@ -125,52 +130,52 @@
 	}
 }
 
-// idle returns for how long the store is left alone, 0 = it is called.
-func (f *Follower) idle(now time.Time) time.Duration {
-	if f.duty() == DutyRest {
-		f.view.hear(now, false) // others hear it lately, or this one would not rest
-		return restPause
+// callDelay returns how long to wait before the next call to the store, 0 = call now.
+func (f *Follower) callDelay(now time.Time) time.Duration {
+	if f.role() == DutyRest {
+		f.view.noteAnswer(now, false) // a passive role implies that others got a recent answer
+		return passivePause
 	}
 	return f.notBefore.Sub(now)
 }
 
-// pauseAfter notes how a call ended and returns the pause before the next.
+// pauseAfter records how a call ended and returns the pause before the next one.
 func (f *Follower) pauseAfter(err error, now time.Time) time.Duration {
 	switch {
 	case err == nil:
-		if f.inRow {
-			f.inRow = false
-			return part(eventPart, f.Within) // more are to be expected
+		if f.inBurst {
+			f.inBurst = false
+			return fraction(burstFraction, f.Within) // more events are likely to follow
 		}
 		return callGap
 	case errors.Is(err, errInterrupted):
 		return callGap
-	case errors.Is(err, ErrHistoryLost), errors.Is(err, errReturned):
-		f.odd++
+	case errors.Is(err, ErrHistoryLost), errors.Is(err, errRestored):
+		f.noProgress++
 		f.relist = true
-		f.regained, f.absence = now, outageAbsence
+		f.recoveredAt, f.missingGrace = now, outageGrace
 		f.Log.Warn().Err(err).Str("prefix", f.Prefix).Uint64("era", f.view.at.Era).Uint64("revision", f.view.at.Revision).
-			Int("in_a_row", f.odd).Msg("watch history lost, listing again")
-		return relistPause(f.odd, f.duty())
-	case errors.Is(err, errEmpty):
-		f.odd++
-		if f.odd == 1 {
+			Int("in_a_row", f.noProgress).Msg("watch history lost, listing again")
+		return relistPause(f.noProgress, f.role())
+	case errors.Is(err, errEmptyWatch):
+		f.noProgress++
+		if f.noProgress == 1 {
 			f.Log.Warn().Err(err).Str("prefix", f.Prefix).Uint64("revision", f.view.at.Revision).Msg("odd answer of the store")
 		}
-		return backoff(f.odd)
+		return backoff(f.noProgress)
 	default:
 		return f.failed(err, now)
 	}
 }
 
-func (f *Follower) duty() Duty {
+func (f *Follower) role() Duty {
 	if f.Duty == nil {
 		return DutyLead
 	}
 	return f.Duty()
 }
 
-func (f *Follower) next(ctx context.Context) error {
+func (f *Follower) callStore(ctx context.Context) error {
 	if !f.view.known() || f.relist {
 		return f.list(ctx)
 	}
@@ -179,67 +184,67 @@
 
 func (f *Follower) watch(ctx context.Context) error {
 	began := clock.Now()
-	period := Wait(f.duty(), f.others(), f.Within)
-	if release := f.view.release(); !release.IsZero() {
-		period = max(callGap, min(period, release.Sub(began)))
+	period := Wait(f.role(), f.others(), f.Within)
+	if suppressedUntil := f.view.suppressedUntil(); !suppressedUntil.IsZero() {
+		period = max(callGap, min(period, suppressedUntil.Sub(began)))
 	}
 	slack := watchSlack
-	if !f.failing.IsZero() {
+	if !f.failingSince.IsZero() {
 		period, slack = min(period, failingWait), failingSlack
 	}
 	ctx, cancel := context.WithTimeout(ctx, period+slack)
 	defer cancel()
-	f.arm(cancel, period)
+	f.trackCall(cancel, period)
 	events, at, err := f.Store.Watch(ctx, f.Prefix, f.view.at, period)
-	f.arm(nil, 0)
+	f.trackCall(nil, 0)
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return errInterrupted
 	}
 	if err != nil {
 		return err
 	}
-	if err := f.sameEra(at); err != nil {
+	if err := f.checkTerm(at); err != nil {
 		return err
 	}
 	now := clock.Now()
 	f.succeeded(now)
 	if len(events) > 0 {
-		return f.takeEvents(events, at, now)
+		return f.applyEvents(events, at, now)
 	}
 	f.view.at = later(f.view.at, at)
-	if now.Sub(began) < period/earlyPart {
-		return errEmpty
+	if now.Sub(began) < period/earlyDivisor {
+		return errEmptyWatch
 	}
-	f.odd = 0
+	f.noProgress = 0
 	return nil
 }
 
-// earlyPart divides the wait of a watch: one that ends without events before that part of it
-// did not wait.
-const earlyPart = 2
+// earlyDivisor divides the wait of a watch: a watch that ends without events before that
+// part of its wait did not wait as asked.
+const earlyDivisor = 2
 
-func (f *Follower) takeEvents(events []Event, at Position, now time.Time) error {
-	news := f.view.apply(events, at, now)
-	if len(news) == 0 {
-		return errEmpty
+func (f *Follower) applyEvents(events []Event, at Position, now time.Time) error {
+	changes := f.view.apply(events, at, now)
+	if len(changes) == 0 {
+		return errEmptyWatch
 	}
-	f.from, f.odd = "", 0
-	f.inRow = !f.lastEvent.IsZero() && now.Sub(f.lastEvent) < inARow
+	f.from, f.noProgress = "", 0
+	f.inBurst = !f.lastEvent.IsZero() && now.Sub(f.lastEvent) < burstGap
 	f.lastEvent = now
-	f.keep(news)
+	f.recordState(changes)
 	f.deliver()
 	return nil
 }
 
-// sameEra returns an error unless an answer is of the history that is known.
-func (f *Follower) sameEra(at Position) error {
+// checkTerm returns an error unless an answer belongs to the known term.
+func (f *Follower) checkTerm(at Position) error {
 	switch known := f.view.at.Era; {
 	case !f.view.known() || at.Era == known:
 		return nil
 	case at.Era > known:
-		return errReturned
+		return errRestored
 	default:
-		return eris.Wrapf(errOlder, "of era %d, known: %d", at.Era, known)
+		return eris.Wrapf(errStale, "of term %d, known: %d", at.Era, known)
 	}
 }
 
@@ -250,53 +255,54 @@
 	return f.Others()
 }
 
-func (f *Follower) arm(cancel context.CancelFunc, wait time.Duration) {
+func (f *Follower) trackCall(cancel context.CancelFunc, wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cancel, f.armed = cancel, wait
+	f.cancel, f.callWait = cancel, wait
 }
 
-// Recheck cuts a waiting watch short that began when many others followed too, or when
-// another one led, if that has changed: they no longer make up for it. It is safe for
-// concurrent use.
+// Recheck cancels a waiting watch whose wait has become too long: it began when many
+// others followed too, or when another follower led, and that has changed, so the others
+// no longer make up for the long wait. It is safe for concurrent use.
 func (f *Follower) Recheck() {
 	f.mu.Lock()
-	waits := f.cancel != nil && f.armed > 0
+	waits := f.cancel != nil && f.callWait > 0
 	f.mu.Unlock()
 	if !waits {
 		return
 	}
-	longest := longestWatch(f.duty(), f.others(), f.Within)
+	longest := maxWatchWait(f.role(), f.others(), f.Within)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.cancel != nil && f.armed > 2*longest {
-		f.Log.Info().Str("prefix", f.Prefix).Dur("wait", f.armed).Dur("longest", longest).Msg("others follow less, watching again")
-		f.armed = 0
+	if f.cancel != nil && f.callWait > 2*longest {
+		f.Log.Info().Str("prefix", f.Prefix).Dur("wait", f.callWait).Dur("longest", longest).
+			Msg("fewer other followers, restarting the watch with a shorter wait")
+		f.callWait = 0
 		f.cancel()
 	}
 }
 
-// Nudge tells that somebody else knows of a change at the position. If the
-// waiting watch has not brought it, it is asked again, once a position. It is
-// safe for concurrent use.
+// Nudge reports that somebody else knows of a change at the position. If the waiting
+// watch has not delivered it, the watch is restarted, once per position. It is safe for
+// concurrent use.
 func (f *Follower) Nudge(at Position) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !at.After(f.nudged) || f.cancel == nil || f.armed == 0 {
+	if !at.After(f.nudged) || f.cancel == nil || f.callWait == 0 {
 		return
 	}
 	f.nudged = at
 	f.Log.Info().Str("prefix", f.Prefix).Uint64("era", at.Era).Uint64("revision", at.Revision).
-		Msg("others know a newer change, watching again")
+		Msg("another follower knows a newer change, restarting the watch")
 	f.cancel()
 }
 
 func (f *Follower) list(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	f.arm(cancel, 0)
+	f.trackCall(cancel, 0)
 	items, at, err := f.Store.List(ctx, f.Prefix, Current)
-	f.arm(nil, 0)
+	f.trackCall(nil, 0)
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return errInterrupted
 	}
@@ -304,81 +310,81 @@
 		return err
 	}
 	if f.view.at.After(at) {
-		return eris.Wrapf(errOlder, "list at %d.%d, known: %d.%d", at.Era, at.Revision, f.view.at.Era, f.view.at.Revision)
+		return eris.Wrapf(errStale, "list at %d.%d, known: %d.%d", at.Era, at.Revision, f.view.at.Era, f.view.at.Revision)
 	}
 	now := clock.Now()
 	f.succeeded(now)
-	returned := f.view.known() && at.Era > f.view.at.Era
+	restored := f.view.known() && at.Era > f.view.at.Era
 	f.view.list(items, at, now)
 	f.relist, f.from = false, ""
-	if returned {
-		f.noteReturn(now)
+	if restored {
+		f.noteRestore(now)
 	}
-	f.keep(nil)
+	f.recordState(nil)
 	f.deliver()
 	return nil
 }
 
-// noteReturn notes that the store's present era is a new one.
-func (f *Follower) noteReturn(now time.Time) {
-	f.regained, f.absence = now, recoveryTime
-	for key, k := range f.view.kept {
+// noteRestore records that the store has begun a new term.
+func (f *Follower) noteRestore(now time.Time) {
+	f.recoveredAt, f.missingGrace = now, recoveryTime
+	for key, k := range f.view.retained {
 		f.Log.Info().Str("prefix", f.Prefix).Str("key", key).Uint64("era", k.Era).Uint64("revision", k.Revision).
-			Msg("entry kept from before the store's return")
+			Msg("retaining an entry from before the store was restored")
 	}
 	f.Log.Warn().Str("prefix", f.Prefix).Uint64("era", f.view.at.Era).Uint64("revision", f.view.at.Revision).
-		Int("items", len(f.view.listed)).Int("kept", len(f.view.kept)).Strs("hidden", bounded(f.view.hidden())).
-		Msg("store is back from an older copy")
+		Int("items", len(f.view.listed)).Int("kept", len(f.view.retained)).Strs("hidden", firstKeys(f.view.suppressed())).
+		Msg("store was restored from an older copy")
 }
 
-// reveal delivers the state again once no entry is hidden any longer.
-func (f *Follower) reveal(now time.Time) {
+// releaseSuppressed delivers the state again once suppressed entries are to be shown.
+func (f *Follower) releaseSuppressed(now time.Time) {
 	f.mu.Lock()
-	retained := f.retained
+	retainedDigest := f.retainedDigest
 	f.mu.Unlock()
-	if retained == 0 || f.view.digest() == retained {
+	if retainedDigest == 0 || f.view.digest() == retainedDigest {
 		return
 	}
-	f.view.forget(now)
-	f.keep(nil)
+	f.view.prune(now)
+	f.recordState(nil)
 	f.deliver()
 }
 
 func (f *Follower) deliver() {
 	now := clock.Now()
 	u := Update{Items: f.view.items(), Position: f.view.at, Changed: f.view.changed, From: f.from}
-	if !f.regained.IsZero() && now.Sub(f.regained) < recoveryTime {
-		u.Absence = f.absence
+	if !f.recoveredAt.IsZero() && now.Sub(f.recoveredAt) < recoveryTime {
+		u.Absence = f.missingGrace
 	}
 	f.Deliver(u)
 }
 
-// Failing reports whether the store does not answer this follower. It is safe for concurrent
-// use.
-func (f *Follower) Failing() bool { return f.lost.Load() }
+// Failing reports whether the store does not answer this follower. It is safe for
+// concurrent use.
+func (f *Follower) Failing() bool { return f.unavailable.Load() }
 
 func (f *Follower) succeeded(now time.Time) {
-	f.heard.Store(&now)
-	f.lost.Store(false)
-	f.view.hear(now, !f.failing.IsZero())
-	if f.failing.IsZero() {
+	f.lastAnswer.Store(&now)
+	f.unavailable.Store(false)
+	f.view.noteAnswer(now, !f.failingSince.IsZero())
+	if f.failingSince.IsZero() {
 		return
 	}
-	f.Log.Info().Str("prefix", f.Prefix).Dur("outage", now.Sub(f.failing)).Int("failures", f.failures).Msg("store regained")
-	f.failing, f.failures = time.Time{}, 0
-	f.regained, f.absence = now, outageAbsence
+	f.Log.Info().Str("prefix", f.Prefix).Dur("outage", now.Sub(f.failingSince)).Int("failures", f.failures).Msg("store regained")
+	f.failingSince, f.failures = time.Time{}, 0
+	f.recoveredAt, f.missingGrace = now, outageGrace
 }
 
-// failed notes a failed call and returns the pause before the next.
+// failed records a failed call and returns the pause before the next one.
 func (f *Follower) failed(err error, now time.Time) time.Duration {
-	if f.failing.IsZero() {
-		f.failing = now
+	if f.failingSince.IsZero() {
+		f.failingSince = now
 		f.Log.Warn().Err(err).Str("prefix", f.Prefix).Uint64("era", f.view.at.Era).Uint64("revision", f.view.at.Revision).Msg("store lost")
 	}
 	f.failures++
-	f.lost.Store(true)
-	if f.view.known() && f.duty() == DutyStandIn {
-		return patience()
+	f.unavailable.Store(true)
+	if f.view.known() && f.role() == DutyStandIn {
+		return standInPause()
 	}
 	return backoff(f.failures)
 }
--- a/core/source/follower_test.go
+++ b/core/source/follower_test.go
@@ -10,9 +10,9 @@
 	"github.com/rs/zerolog"
 )
 
-// script answers each call with the next step; after the last one it ends the
+// scriptedStore answers each call with the next step. After the last step it stops the
 // follower.
-type script struct {
+type scriptedStore struct {
 	steps []step
 	calls []string
 	end   context.CancelFunc
@@ -22,13 +22,13 @@
 	items    []Item
 	events   []Event
 	revision uint64
-	era      uint64
+	term     uint64
 	err      error
 }
 
-func (s step) at() Position { return Position{s.era, s.revision} }
+func (s step) at() Position { return Position{s.term, s.revision} }
 
-func (s *script) take(call string) step {
+func (s *scriptedStore) take(call string) step {
 	s.calls = append(s.calls, call)
 	if len(s.steps) == 0 {
 		s.end()
@@ -39,19 +39,19 @@
 	return next
 }
 
-func (s *script) List(context.Context, string, Freshness) ([]Item, Position, error) {
+func (s *scriptedStore) List(context.Context, string, Freshness) ([]Item, Position, error) {
 	st := s.take("list")
 	return st.items, st.at(), st.err
 }
 
-func (s *script) Watch(context.Context, string, Position, time.Duration) ([]Event, Position, error) {
+func (s *scriptedStore) Watch(context.Context, string, Position, time.Duration) ([]Event, Position, error) {
 	st := s.take("watch")
 	return st.events, st.at(), st.err
 }
 
 func follow(steps ...step) (updates []Update, calls []string) {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &script{steps: steps, end: cancel}
+	s := &scriptedStore{steps: steps, end: cancel}
 	f := &Follower{Store: s, Prefix: "p/", Log: zerolog.Nop(), Deliver: func(u Update) { updates = append(updates, u) }}
 	f.Run(ctx)
 	return updates, s.calls
@@ -59,7 +59,7 @@
 
 func item(key string, revision uint64) Item { return Item{Key: key, Position: at(revision)} }
 
-// at is a position in a store without eras.
+// at returns a position in a store without terms.
 func at(revision uint64) Position { return Position{Revision: revision} }
 
 func TestEventsChangeTheListedState(t *testing.T) {
@@ -70,8 +70,8 @@
 	)
 	is.Equal(len(updates), 2)
 	is.Equal(len(updates[0].Items), 2)
-	_, kept := updates[1].Items["a"]
-	is.True(!kept)
+	_, found := updates[1].Items["a"]
+	is.True(!found)
 	is.Equal(updates[1].Revision, uint64(4))
 	is.True(updates[1].Absence == 0)
 }
@@ -99,7 +99,7 @@
 	is.Equal(updates[1].Revision, uint64(6))
 }
 
-func TestWhatComesAfterAnOutageIsMarked(t *testing.T) {
+func TestUpdateAfterAnOutageHasMissingGrace(t *testing.T) {
 	is := is.New(t)
 	updates, _ := follow(
 		step{items: []Item{item("a", 1)}, revision: 1},
@@ -109,16 +109,16 @@
 	is.True(updates[1].Absence > 0)
 }
 
-// deaf is a store whose watches bring nothing until they are asked again.
-type deaf struct{ watches chan struct{} }
+// stalledStore is a store whose first watch delivers nothing until it is canceled.
+type stalledStore struct{ started chan struct{} }
 
-func (d deaf) List(context.Context, string, Freshness) ([]Item, Position, error) {
+func (d stalledStore) List(context.Context, string, Freshness) ([]Item, Position, error) {
 	return []Item{item("a", 1)}, at(1), nil
 }
 
-func (d deaf) Watch(ctx context.Context, _ string, after Position, _ time.Duration) ([]Event, Position, error) {
+func (d stalledStore) Watch(ctx context.Context, _ string, after Position, _ time.Duration) ([]Event, Position, error) {
 	select {
-	case d.watches <- struct{}{}:
+	case d.started <- struct{}{}:
 	default:
 		return []Event{{Item: item("b", after.Revision+1)}}, at(after.Revision + 1), nil
 	}
@@ -126,11 +126,11 @@
 	return nil, Position{}, ErrUnavailable
 }
 
-func TestANudgeAsksADeafWatchAgain(t *testing.T) {
+func TestNudgeRestartsAStalledWatch(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	store := deaf{make(chan struct{}, 1)}
+	store := stalledStore{make(chan struct{}, 1)}
 	updates := make(chan Update, 8)
 	f := &Follower{Store: store, Log: zerolog.Nop(), Deliver: func(u Update) {
 		select {
@@ -140,21 +140,21 @@
 	}}
 	go f.Run(ctx)
 	is.Equal((<-updates).Changed, at(1))
-	for len(store.watches) == 0 {
+	for len(store.started) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	f.Nudge(at(2))
 	is.True((<-updates).Changed.Revision >= 2)
 }
 
-// A follower that loses sight of the others has to find changes by itself.
+// A follower that loses contact with the others has to find changes by itself.
 func TestALongWatchIsCutShortWhenTheOthersAreGone(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var others atomic.Int32
 	others.Store(30)
-	store := deaf{make(chan struct{}, 1)}
+	store := stalledStore{make(chan struct{}, 1)}
 	updates := make(chan Update, 8)
 	f := &Follower{Store: store, Log: zerolog.Nop(), Duty: func() Duty { return DutyFollow }, Others: func() int { return int(others.Load()) }, Deliver: func(u Update) {
 		select {
@@ -164,7 +164,7 @@
 	}}
 	go f.Run(ctx)
 	is.Equal((<-updates).Changed, at(1))
-	for len(store.watches) == 0 {
+	for len(store.started) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	f.Recheck()
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestEventsAreKeptForOthers(t *testing.T) {
+func TestEventsAreRetainedForOtherFollowers(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -226,8 +226,8 @@
 	is.Equal(len(since.Events), 2)
 	is.Equal(since.Revision, uint64(8))
 	is.Equal(len(f.Since(at(7), false).Events), 1)
-	is.Equal(len(f.Since(at(0), false).Items), 1) // all of it
-	is.Equal(len(f.Since(at(2), false).Items), 1) // from before what is kept
+	is.Equal(len(f.Since(at(0), false).Items), 1) // the whole state
+	is.Equal(len(f.Since(at(2), false).Items), 1) // older than the kept events
 	f.Offer(State{Events: []Event{{Item: item("c", 12)}}, After: at(10), Position: at(12), Changed: at(12)})
 	select {
 	case u := <-updates:
@@ -236,28 +236,29 @@
 	}
 }
 
-// resting returns the duty of a follower that rests or leads.
-func resting(rest *atomic.Bool) func() Duty {
+// passiveIf returns the role function of a follower that is passive while the flag is set
+// and leads otherwise.
+func passiveIf(passive *atomic.Bool) func() Duty {
 	return func() Duty {
-		if rest.Load() {
+		if passive.Load() {
 			return DutyRest
 		}
 		return DutyLead
 	}
 }
 
-// A follower that rests makes no calls, not even the first list, takes what it is
-// offered and goes on from there when it has to.
-func TestARestingFollowerLeavesTheStoreAlone(t *testing.T) {
+// A passive follower makes no calls, not even the first list. It takes what it is offered
+// and continues from there when its role changes.
+func TestPassiveFollowerMakesNoCalls(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var rest atomic.Bool
-	rest.Store(true)
-	store := deaf{make(chan struct{}, 1)}
+	var passive atomic.Bool
+	passive.Store(true)
+	store := stalledStore{make(chan struct{}, 1)}
 	updates := make(chan Update, 8)
 	f := &Follower{
-		Store: store, Log: zerolog.Nop(), Duty: resting(&rest),
+		Store: store, Log: zerolog.Nop(), Duty: passiveIf(&passive),
 		Deliver: func(u Update) {
 			select {
 			case updates <- u:
@@ -271,32 +272,32 @@
 	f.Offer(State{Items: map[string]Item{"a": {Key: "a", Position: at(3)}}, Position: at(3), Changed: at(3)})
 	is.Equal((<-updates).Revision, uint64(3))
 	time.Sleep(50 * time.Millisecond)
-	is.Equal(len(store.watches), 0)
-	rest.Store(false)
-	for until := time.Now().Add(time.Second); len(store.watches) == 0 && time.Now().Before(until); {
+	is.Equal(len(store.started), 0)
+	passive.Store(false)
+	for until := time.Now().Add(time.Second); len(store.started) == 0 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
-	is.Equal(len(store.watches), 1)
+	is.Equal(len(store.started), 1)
 }
 
-// A store that is away for a whole fleet is tried often by those who follow it for the
-// others only.
-func TestWhoFollowsForNobodyTriesALostStoreSeldom(t *testing.T) {
+// During an outage of the store, followers on which others rely try it often; stand-ins
+// try seldom.
+func TestStandInTriesAFailingStoreSeldom(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	duty := DutyLead
-	f := &Follower{Log: zerolog.Nop(), Duty: func() Duty { return duty }}
+	role := DutyLead
+	f := &Follower{Log: zerolog.Nop(), Duty: func() Duty { return role }}
 	for range 20 {
-		is.True(f.failed(ErrUnavailable, now) <= longestPause)
+		is.True(f.failed(ErrUnavailable, now) <= maxBackoff)
 	}
-	duty = DutyStandIn
-	is.True(f.failed(ErrUnavailable, now) <= longestPause) // it knows nothing yet
+	role = DutyStandIn
+	is.True(f.failed(ErrUnavailable, now) <= maxBackoff) // without any state it does not slow down
 	f.view.listed = map[string]Item{}
 	pause := f.failed(ErrUnavailable, now)
-	is.True(pause >= firstPatience && pause <= longestPatience)
+	is.True(pause >= minStandInPause && pause <= maxStandInPause)
 }
 
-// While it waits to try the store again, it takes what others found out.
+// A follower that pauses before its next try of the store takes offers at once.
 func TestAnOfferEndsThePauseOfAFollower(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -311,53 +312,55 @@
 	began := time.Now()
 	f.Offer(State{Items: map[string]Item{"a": {Key: "a", Position: at(3)}}, Position: at(3), Changed: at(3)})
 	is.Equal((<-updates).Revision, uint64(3))
-	is.True(time.Since(began) < firstPatience/2)
+	is.True(time.Since(began) < minStandInPause/2)
 }
 
-// Load pattern: configurations of most of a megabyte in quick succession. Who is behind
-// by many of them needs the last one.
-func TestOnlyTheLatestEventOfAKeyIsKeptForOthers(t *testing.T) {
+// Load pattern: configurations of almost a megabyte in quick succession. A follower that
+// is many versions behind needs only the last one.
+func TestOnlyTheLatestEventOfAKeyIsRetained(t *testing.T) {
 	is := is.New(t)
 	f := &Follower{}
-	f.keep(nil)
-	f.keep([]Event{{Item: item("config", 3)}, {Item: item("server", 4)}})
-	f.keep([]Event{{Item: item("config", 5)}})
-	f.keep([]Event{{Item: item("config", 6), Removed: true}})
+	f.recordState(nil)
+	f.recordState([]Event{{Item: item("config", 3)}, {Item: item("server", 4)}})
+	f.recordState([]Event{{Item: item("config", 5)}})
+	f.recordState([]Event{{Item: item("config", 6), Removed: true}})
 	is.Equal(f.Since(at(2), false).Events, []Event{{Item: item("server", 4)}, {Item: item("config", 6), Removed: true}})
 	is.Equal(f.Since(at(4), false).Events, []Event{{Item: item("config", 6), Removed: true}})
 	is.Equal(len(f.Since(at(6), false).Events), 0)
 }
 
-// forgetful is a store that has dropped the history that any watch asks for, just when
-// its follower comes to rest.
-type forgetful struct{ rest *atomic.Bool }
+// compactedStore has dropped the history that any watch needs, and its follower becomes
+// passive at the same moment.
+type compactedStore struct{ passive *atomic.Bool }
 
-func (forgetful) List(context.Context, string, Freshness) ([]Item, Position, error) {
+func (compactedStore) List(context.Context, string, Freshness) ([]Item, Position, error) {
 	return []Item{item("a", 1)}, at(1), nil
 }
 
-func (s forgetful) Watch(context.Context, string, Position, time.Duration) ([]Event, Position, error) {
-	s.rest.Store(true)
+func (s compactedStore) Watch(context.Context, string, Position, time.Duration) ([]Event, Position, error) {
+	s.passive.Store(true)
 	return nil, Position{}, ErrHistoryLost
 }
 
-// A gateway that follows for nobody got 410 just when it came to rest. Without a list it
-// refused the events that others offered, and as it knew a revision it was offered nothing
-// else: it stayed behind, and sent requests to a backend server that had left.
+// Guards against a follower that refuses offered events after a lost history. A gateway
+// that followed only for itself got status 410 just when it became passive. Without a new
+// list it refused the events that others offered, and as it knew a revision it was
+// offered nothing else. It fell behind and sent requests to a backend server that had
+// left.
 //
 //	"watch history lost, listing again" revision=143
 //	"following of the store changed" resting=true
-//	"state asked from another gateway" newest=144 known=143 (again each 0.3 s)
+//	"state asked from another gateway" newest=144 known=143 (again every 0.3 s)
 func TestAFollowerThatLostItsHistoryTakesEventsThatOthersOffer(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var rest atomic.Bool
+	var passive atomic.Bool
 	updates := make(chan Update, 8)
-	f := &Follower{Store: forgetful{&rest}, Log: zerolog.Nop(), Duty: resting(&rest), Deliver: func(u Update) { updates <- u }}
+	f := &Follower{Store: compactedStore{&passive}, Log: zerolog.Nop(), Duty: passiveIf(&passive), Deliver: func(u Update) { updates <- u }}
 	go f.Run(ctx)
 	is.Equal((<-updates).Revision, uint64(1))
-	for !rest.Load() {
+	for !passive.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	f.Offer(State{Events: []Event{{Item: item("b", 2)}}, After: at(1), Position: at(2), Changed: at(2)})
@@ -369,19 +372,19 @@
 	}
 }
 
-// After a return an entry that the copy lacks is kept for longer than after an outage. A
-// history that is dropped later is neither: a backend server that left in the gap would have
-// got requests for 2.2 s.
-func TestADroppedHistoryAfterAReturnIsNoReturn(t *testing.T) {
+// After a restore, an entry that the copy lacks is kept for longer than after an outage.
+// A history dropped later must not count as another restore: a backend server that left
+// in the gap would have got requests for 2.2 s.
+func TestDroppedHistoryAfterARestoreIsNoRestore(t *testing.T) {
 	is := is.New(t)
 	updates, _ := follow(
-		step{items: []Item{item("a", 5)}, revision: 5, era: 1},
+		step{items: []Item{item("a", 5)}, revision: 5, term: 1},
 		step{err: ErrHistoryLost},
-		step{items: []Item{item("a", 3)}, revision: 3, era: 2},
+		step{items: []Item{item("a", 3)}, revision: 3, term: 2},
 		step{err: ErrHistoryLost},
-		step{items: []Item{item("a", 3)}, revision: 9, era: 2},
+		step{items: []Item{item("a", 3)}, revision: 9, term: 2},
 	)
 	is.Equal(len(updates), 3)
 	is.Equal(updates[1].Absence, recoveryTime)
-	is.Equal(updates[2].Absence, outageAbsence)
+	is.Equal(updates[2].Absence, outageGrace)
 }
--- a/core/source/offers.go
+++ b/core/source/offers.go
@@ -9,39 +9,40 @@
 	"baywall.example/core/clock"
 )
 
-// State is what a follower knows of a prefix: all items, or the events after a position;
-// and what it knows better than the store since that is back from an older copy.
+// State is what a follower knows of a prefix: all items, or the events after a position,
+// and the entries that it knows in a newer version than the store lists since it was
+// restored from an older copy.
 type State struct {
-	Items    map[string]Item // as the store lists them, nil = there are events; nobody changes it
+	Items    map[string]Item // as listed by the store, nil = see Events; read-only
 	Events   []Event
-	After    Position // of the events
-	Position          // a watch goes on from here
-	Changed  Position // of the newest change
-	Base     Position // earliest known list of the era
-	Kept     []Item   // in place of what the store lists
+	After    Position // position that the events follow
+	Position          // from which the next watch continues
+	Changed  Position // position of the newest change
+	Base     Position // position of the earliest known list of the term
+	Kept     []Item   // replace what the store lists
 	Gone     []Removal
-	From     string // whose state it is, for logs
+	From     string // origin of the state, for logs
 }
 
 const (
-	// restPause is how often a resting follower looks whether it has to follow itself.
-	restPause = 200 * time.Millisecond
-	// mostRecent bounds the events that are kept for others.
-	mostRecent = 256
+	// passivePause is how often a passive follower checks whether its role has changed.
+	passivePause = 200 * time.Millisecond
+	// maxRecent bounds the events that are kept for others.
+	maxRecent = 256
 )
 
-// Heard returns when the store last answered; the zero time if it never has. It is
+// Heard returns when the store last answered, or the zero time if it never has. It is
 // safe for concurrent use.
 func (f *Follower) Heard() time.Time {
-	if heard := f.heard.Load(); heard != nil {
-		return *heard
+	if lastAnswer := f.lastAnswer.Load(); lastAnswer != nil {
+		return *lastAnswer
 	}
 	return time.Time{}
 }
 
-// Since returns what this follower knows beyond a position: the events if they are
-// still kept, or else all items. Removals of before come with all items, or if asked for: a
-// release of 70 backend servers is 14 KB of them. It is safe for concurrent use.
+// Since returns what this follower knows beyond a position: the events if they are still
+// kept, or else all items. Earlier removals are included with all items, or on request: a
+// release of 70 backend servers adds 14 KB of them. It is safe for concurrent use.
 func (f *Follower) Since(after Position, removals bool) State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,38 +62,38 @@
 	return s
 }
 
-// Retained tells followers that keep different entries in place of what the store lists
-// from each other; 0 = none are kept. It is safe for concurrent use.
+// Retained returns a digest that differs between followers that retain or suppress
+// different entries; 0 means that there are none. It is safe for concurrent use.
 func (f *Follower) Retained() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.retained
+	return f.retainedDigest
 }
 
-// keep notes the present state for others, with the events that led to it; nil if it came as
-// a whole.
-func (f *Follower) keep(events []Event) {
+// recordState records the present state for others, with the events that led to it; nil
+// if it was received as a whole.
+func (f *Follower) recordState(events []Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.latest = State{
 		Items: f.view.listed, Position: f.view.at, Changed: f.view.changed, Base: f.view.base,
-		Kept: slices.Collect(maps.Values(f.view.kept)), Gone: slices.Collect(maps.Values(f.view.gone)),
+		Kept: slices.Collect(maps.Values(f.view.retained)), Gone: slices.Collect(maps.Values(f.view.removals)),
 	}
-	f.retained = f.view.digest()
+	f.retainedDigest = f.view.digest()
 	if events == nil {
 		f.recent, f.recentFrom = nil, f.view.at
 		return
 	}
 	f.recent = append(f.recent, events...)
 	f.recent = latestByKey(f.recent)
-	if over := len(f.recent) - mostRecent; over > 0 {
+	if over := len(f.recent) - maxRecent; over > 0 {
 		f.recentFrom = f.recent[over-1].Position
 		f.recent = append([]Event(nil), f.recent[over:]...)
 	}
 }
 
-// latestByKey returns the events without those that a later one of the same key
-// replaces. Configurations that come in quick succession are most of a megabyte each.
+// latestByKey returns the events without those that a later event for the same key
+// replaces. Configurations that follow each other quickly are almost a megabyte each.
 func latestByKey(events []Event) []Event {
 	latest := make(map[string]Position, len(events))
 	for _, e := range events {
@@ -101,8 +102,8 @@
 	return slices.DeleteFunc(slices.Clone(events), func(e Event) bool { return latest[e.Key].After(e.Position) })
 }
 
-// Offer hands over what another follower of the same store knows, for when this
-// one does not reach the store. It is safe for concurrent use.
+// Offer passes on what another follower of the same store knows, for when this follower
+// does not reach the store. It is safe for concurrent use.
 func (f *Follower) Offer(s State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,11 +113,11 @@
 	}
 	select {
 	case f.wakeUp() <- struct{}{}:
-	default: // it is about to look
+	default: // a wake-up is already pending
 	}
 }
 
-// wakeUp returns the channel that ends a pause, under mu.
+// wakeUp returns the channel that ends a pause. The caller holds mu.
 func (f *Follower) wakeUp() chan struct{} {
 	if f.wake == nil {
 		f.wake = make(chan struct{}, 1)
@@ -124,7 +125,7 @@
 	return f.wake
 }
 
-// pause waits until the follower is offered something or the time is over.
+// pause waits until an offer arrives or the time is over.
 func (f *Follower) pause(ctx context.Context, d time.Duration) {
 	f.mu.Lock()
 	wake := f.wakeUp()
@@ -138,7 +139,7 @@
 	}
 }
 
-// adopt takes over what was offered and is news.
+// adopt takes over offered states that are newer than the own.
 func (f *Follower) adopt() {
 	f.mu.Lock()
 	offers := f.offers
@@ -151,43 +152,43 @@
 
 func (f *Follower) adoptOne(offer *State) {
 	now := clock.Now()
-	known, took := f.view.at, 0
+	known, taken := f.view.at, 0
 	newer := !f.view.known() || offer.Changed.After(f.view.changed) && !f.view.at.After(offer.Position)
 	switch {
 	case newer && offer.Items != nil:
-		took = len(offer.Items)
+		taken = len(offer.Items)
 		f.adoptItems(offer, now)
 	case newer && f.view.known() && offer.After.Era == f.view.at.Era && !offer.After.After(f.view.at):
-		took = f.adoptEvents(offer, now)
+		taken = f.adoptEvents(offer, now)
 	}
-	kept := offer.Kept
+	retained := offer.Kept
 	if offer.Era < f.view.at.Era {
-		kept = append(slices.Collect(maps.Values(offer.Items)), kept...)
+		retained = append(slices.Collect(maps.Values(offer.Items)), retained...)
 	}
-	absorbed := f.view.absorb(kept, offer.Gone, offer.Base, now)
-	if took == 0 && !absorbed {
+	merged := f.view.merge(retained, offer.Gone, offer.Base, now)
+	if taken == 0 && !merged {
 		return
 	}
-	if offer.Items != nil || absorbed {
-		f.keep(nil)
+	if offer.Items != nil || merged {
+		f.recordState(nil)
 	}
 	f.from = offer.From
 	f.deliver()
 	f.Log.Info().Str("prefix", f.Prefix).Str("from", offer.From).Uint64("era", f.view.at.Era).Uint64("revision", f.view.at.Revision).
-		Uint64("known_era", known.Era).Uint64("known", known.Revision).Int("taken", took).Bool("events", offer.Items == nil).
-		Int("kept", len(f.view.kept)).Strs("hidden", bounded(f.view.hidden())).Msg("state taken from another follower")
+		Uint64("known_era", known.Era).Uint64("known", known.Revision).Int("taken", taken).Bool("events", offer.Items == nil).
+		Int("kept", len(f.view.retained)).Strs("hidden", firstKeys(f.view.suppressed())).Msg("state taken from another follower")
 }
 
 func (f *Follower) adoptItems(offer *State, now time.Time) {
-	returned := f.view.known() && offer.Era > f.view.at.Era
+	restored := f.view.known() && offer.Era > f.view.at.Era
 	f.view.replace(offer.Items, offer.Position, offer.Changed, offer.Base, now)
 	f.relist = false
-	if returned {
-		f.noteReturn(now)
+	if restored {
+		f.noteRestore(now)
 	}
 }
 
-// adoptEvents takes over the events that are news and returns their number.
+// adoptEvents takes over the events that are new and returns their number.
 func (f *Follower) adoptEvents(offer *State, now time.Time) int {
 	var later []Event
 	for _, e := range offer.Events {
@@ -195,13 +196,13 @@
 			later = append(later, e)
 		}
 	}
-	news := f.view.apply(later, offer.Position, now)
-	f.relist = false                   // the events of between are known: a watch can go on from here
-	f.keep(append([]Event{}, news...)) // not nil: the state did not come as a whole
-	return len(news)
+	changes := f.view.apply(later, offer.Position, now)
+	f.relist = false                             // there is no gap: a watch can continue from here
+	f.recordState(append([]Event{}, changes...)) // not nil: the state was not received as a whole
+	return len(changes)
 }
 
-// mostNamed bounds the keys that one log line names.
-const mostNamed = 8
+// maxLoggedKeys bounds the keys in one log line.
+const maxLoggedKeys = 8
 
-func bounded(keys []string) []string { return keys[:min(len(keys), mostNamed)] }
+func firstKeys(keys []string) []string { return keys[:min(len(keys), maxLoggedKeys)] }
--- a/core/source/pacing_test.go
+++ b/core/source/pacing_test.go
@@ -11,10 +11,10 @@
 	"github.com/rs/zerolog"
 )
 
-func TestWaitsGrowWithTheNumberOfFollowers(t *testing.T) {
+func TestWatchWaitGrowsWithTheNumberOfFollowers(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
-		duty   Duty
+		role   Duty
 		others int
 		within time.Duration
 		most   time.Duration
@@ -22,59 +22,59 @@
 		{DutyLead, 0, 0, 700 * time.Millisecond},
 		{DutyLead, 100, 3 * time.Second, 1050 * time.Millisecond},
 		{DutyFollow, 7, 0, 6 * time.Second},
-		{DutyStandIn, 100, 0, longestWait},
+		{DutyStandIn, 100, 0, maxWait},
 	} {
 		for range 100 {
-			w := Wait(c.duty, c.others, c.within)
+			w := Wait(c.role, c.others, c.within)
 			is.True(w >= c.most/5 && w <= c.most)
 		}
 	}
 }
 
-// Followers that one event woke together ask again one after the other, not
-// together: the longest time without any is a fraction of a wait.
-func TestFollowersWokenTogetherDoNotStayTogether(t *testing.T) {
+// Followers woken by the same event spread their next watches: the longest time without
+// any is a fraction of a wait.
+func TestWatchWaitsSpreadAfterACommonEvent(t *testing.T) {
 	is := is.New(t)
 	const followers = 30
 	const rounds = 10_000
 	late := 0
 	for range rounds {
-		first := longestWait
+		first := maxWait
 		for range followers {
 			first = min(first, Wait(DutyStandIn, followers-1, 0))
 		}
-		if first > longestWait/2 {
+		if first > maxWait/2 {
 			late++
 		}
 	}
-	is.True(late <= rounds/1000) // 0.63 to the power of 30 is expected, one in 10^6
+	is.True(late <= rounds/1000) // expected: 0.63^30, about one in 10^6
 }
 
-// odd is a store that answers each call at once, in one odd way.
-type odd struct {
+// faultyStore answers each call at once, in one incorrect way.
+type faultyStore struct {
 	list  func(n int) ([]Item, Position, error)
 	watch func(n int, after Position) ([]Event, Position, error)
 	calls atomic.Int32
 }
 
-func (o *odd) List(context.Context, string, Freshness) ([]Item, Position, error) {
+func (o *faultyStore) List(context.Context, string, Freshness) ([]Item, Position, error) {
 	return o.list(int(o.calls.Add(1)))
 }
 
-func (o *odd) Watch(_ context.Context, _ string, after Position, _ time.Duration) ([]Event, Position, error) {
+func (o *faultyStore) Watch(_ context.Context, _ string, after Position, _ time.Duration) ([]Event, Position, error) {
 	return o.watch(int(o.calls.Add(1)), after)
 }
 
-// mostPerSecond is how often a follower may call a store that answers oddly: of 149, few do
-// while others hear it.
-const mostPerSecond = 10
+// maxCallsPerSecond is how often a follower may call a store that answers incorrectly. Of
+// 149 followers, few call it while the others get their updates from them.
+const maxCallsPerSecond = 10
 
-// A store that came back at a lower revision was asked for its list 10,000 times a second,
-// since an older list was passed over without a pause. No answer, however odd, is followed by
-// a call without one.
+// A store that was restored at a lower revision got 10,000 lists a second, since an older
+// list was discarded without a pause. No answer, however wrong, may be followed by a call
+// without one.
 func TestNoAnswerIsFollowedByACallWithoutAPause(t *testing.T) {
 	listed := func(int) ([]Item, Position, error) { return []Item{item("a", 5)}, at(5), nil }
-	for name, store := range map[string]*odd{
+	for name, store := range map[string]*faultyStore{
 		"older lists": {
 			list:  func(n int) ([]Item, Position, error) { return nil, at(uint64(max(3, 100-n))), nil },
 			watch: func(int, Position) ([]Event, Position, error) { return nil, Position{}, ErrHistoryLost },
@@ -122,7 +122,7 @@
 				f := &Follower{Store: store, Log: zerolog.Nop(), Deliver: func(u Update) { seen = len(u.Items) }}
 				go f.Run(ctx)
 				time.Sleep(10 * time.Second)
-				if n := store.calls.Load(); n < 10 || n > 10*mostPerSecond {
+				if n := store.calls.Load(); n < 10 || n > 10*maxCallsPerSecond {
 					t.Errorf("%d calls in 10 s", n)
 				}
 				if _, older := f.view.listed["b"]; older && seen != 2 {
--- a/core/source/position.go
+++ b/core/source/position.go
@@ -2,11 +2,11 @@
 
 import "cmp"
 
-// Position is a place in what a store says: a revision in one of its histories. A store
-// that is back from an older copy of itself begins a new era and gives revisions out again,
-// so revisions compare within an era only. The zero Position is before all others.
+// Position is a position in the store's history: a revision within a term. A store that
+// was restored from an older copy of itself begins a new term and gives revisions out
+// again, so revisions compare within a term only. The zero Position is before all others.
 type Position struct {
-	Era      uint64 // 0 = of a store that names none
+	Era      uint64 // term of the store, 0 = the store reports none
 	Revision uint64
 }
 
@@ -18,7 +18,7 @@
 // After reports whether p is after q.
 func (p Position) After(q Position) bool { return p.Compare(q) > 0 }
 
-// later returns the later one of two positions.
+// later returns the later of two positions.
 func later(p, q Position) Position {
 	if q.After(p) {
 		return q
--- a/core/source/source.go
+++ b/core/source/source.go
@@ -9,8 +9,8 @@
 
 // Errors of a Store.
 var (
-	// ErrHistoryLost means that the events after a position are not kept, or never were in
-	// the store's present history: list again.
+	// ErrHistoryLost means that the events after a position are no longer available, or
+	// never existed in the store's present term: list again.
 	ErrHistoryLost = eris.New("source: history lost")
 	// ErrUnavailable means that the store gave no usable answer.
 	ErrUnavailable = eris.New("source: unavailable")
@@ -26,28 +26,28 @@
 // Event is a change of one entry.
 type Event struct {
 	Item
-	Removed bool // Value is then the last one that is known, if any
+	Removed bool // Value is then the last known one, if any
 }
 
-// Freshness tells how old a list may be.
+// Freshness is how old a list may be.
 type Freshness int
 
-// Freshness of a list.
+// Values of Freshness.
 const (
 	// Current lists are linearizable.
 	Current Freshness = iota
-	// Stale lists cost less and may be seconds old: never proof that an entry
-	// is gone.
+	// Stale lists cost less and may be seconds old: they never prove that an entry is
+	// gone.
 	Stale
 )
 
-// Store is a read-only store with one revision counter. Positions are of the era that the
-// answer names.
+// Store is a read-only store with one revision counter. Positions belong to the term that
+// the answer names.
 type Store interface {
-	// List returns all entries under the prefix and the position from which a
-	// watch goes on.
+	// List returns all entries under the prefix and the position from which a watch
+	// continues.
 	List(ctx context.Context, prefix string, f Freshness) ([]Item, Position, error)
-	// Watch returns the events after the position as soon as there are any, or
-	// none after the wait, and the position to go on from.
+	// Watch returns the events after the position as soon as there are any, or none after
+	// the wait, and the position to continue from.
 	Watch(ctx context.Context, prefix string, after Position, wait time.Duration) ([]Event, Position, error)
 }
