--- a/core/expertmap/bound.go
+++ b/core/expertmap/bound.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// mostNew returns the largest number of experts that one rank has to load.
-func mostNew(from, to []int32, slots int) int {
+// maxNewExperts returns the largest number of experts that one rank has to load.
+func maxNewExperts(from, to []int32, slots int) int {
 	most := 0
 	for base := 0; base < len(to); base += slots {
 		most = max(most, layerMoves(from[base:base+slots], to[base:base+slots], slots))
@@ -14,9 +14,9 @@
 	return most
 }
 
-// bound takes layers of a plan back to what they are until no rank has to load
-// more than MaxNewTotal experts. The layers whose moves bring most stay.
-func (in Input) bound(plan Map) {
+// limitLoads reverts layers of a plan to the current map until no rank has to load more
+// than MaxNewTotal experts. The layers with the largest gain for each move are kept.
+func (in Input) limitLoads(plan Map) {
 	if in.MaxNewTotal <= 0 {
 		return
 	}
@@ -34,9 +34,9 @@
 	}
 }
 
-// fits reports whether each rank may load a layer's new experts besides those
-// of the layers taken before. A layer that does not place every expert yet has
-// to be taken.
+// fits reports whether each rank may load a layer's new experts in addition to those of
+// the layers accepted before. A layer whose current placement lacks an expert is always
+// accepted.
 func (in Input) fits(loads []int, from, to []int32) bool {
 	slots := in.Shape.Slots
 	whole := Map{Layers: [][]int32{from}}.Validate(Shape{Ranks: in.Shape.Ranks, Slots: slots, Layers: 1, Experts: in.Shape.Experts})
@@ -51,8 +51,8 @@
 	return true
 }
 
-// byGain returns the layers of a plan, those first whose skew falls most for
-// each expert moved.
+// byGain returns the layers of a plan, ordered by how much their skew falls for each
+// expert moved, largest first.
 func (in Input) byGain(plan Map) []int {
 	order := make([]int, in.Shape.Layers)
 	gain := make([]float64, in.Shape.Layers)
--- a/core/expertmap/demand.go
+++ b/core/expertmap/demand.go
@@ -6,32 +6,31 @@
 )
 
 const (
-	// sameDemand is the cosine between new counts of a layer and its demand so far
-	// below which the demand has changed. Counts of one pass of 12 ranks with 80
-	// requests have 0.94 and more with those of the pass before, and 0.4 and less
-	// when three quarters of the popular experts have changed.
-	sameDemand = 0.85
+	// minSimilarity is the cosine between new counts of a layer and the estimate below
+	// which the demand has changed. Counts of one pass of 12 ranks with 80 requests have
+	// a cosine of 0.94 and more with those of the pass before, and of 0.4 and less when
+	// three quarters of the popular experts have changed.
+	minSimilarity = 0.85
 )
 
-// Demand estimates which experts are asked for at present. Counts of one pass are
-// noisy, so they are smoothed; but demand changes at once, so a layer whose counts
-// do not resemble what they were starts anew. Without that a plan follows either
-// the noise or the past.
+// Demand estimates the present demand for each expert. Counts of one pass are noisy, so
+// they are smoothed; but demand changes abruptly, so the estimate of a layer starts anew
+// if new counts do not resemble it. Without both, a plan follows either the noise or the
+// past.
 type Demand struct {
 	counts Counts
 	weight float64
 	added  []int // counts in the estimate, by layer
 }
 
-// NewDemand returns the demand of a group that has counted nothing yet. New counts
-// are given the weight, from 0 to 1, as long as the demand stays the same.
+// NewDemand returns the estimate of a group without any counts yet. While the demand
+// stays the same, new counts get the weight, from 0 to 1.
 func NewDemand(s Shape, weight float64) *Demand {
 	return &Demand{counts: NewCounts(s), weight: weight, added: make([]int, s.Layers)}
 }
 
-// Add takes in what was counted since the last time, and returns the number of
-// layers in which the demand has changed. Layers without any counts are left as
-// they are.
+// Add adds the counts since the last call, and returns the number of layers in which the
+// demand has changed. Layers without any counts stay unchanged.
 func (d *Demand) Add(newer Counts) (changed int) {
 	for l := range newer {
 		total := 0.0
@@ -41,12 +40,12 @@
 		if total == 0 {
 			continue
 		}
-		if d.added[l] > 0 && cosine(d.counts[l], newer[l]) < sameDemand {
+		if d.added[l] > 0 && cosine(d.counts[l], newer[l]) < minSimilarity {
 			changed++
 			d.added[l] = 0
 		}
 		d.added[l]++
-		weight := max(d.weight, 1/float64(d.added[l])) // their mean at first
+		weight := max(d.weight, 1/float64(d.added[l])) // a plain mean at first
 		for e, n := range newer[l] {
 			d.counts[l][e] += weight * (n/total - d.counts[l][e])
 		}
@@ -54,7 +53,7 @@
 	return changed
 }
 
-// Empty reports whether nothing was counted yet.
+// Empty reports whether there are no counts yet.
 func (d *Demand) Empty() bool {
 	for _, n := range d.added {
 		if n > 0 {
@@ -84,55 +83,55 @@
 }
 
 const (
-	// lifeWeight is the weight of the newest interval between two changes of the
-	// demand in their mean.
-	lifeWeight = 0.3
-	// leastLife is the part of that mean for which the demand is expected to last at
-	// least.
-	leastLife = 0.25
-	// mergeTime is the time within which changes of several layers are one change.
+	// intervalWeight is the weight of the newest interval between two changes of the
+	// demand in the moving average of the intervals.
+	intervalWeight = 0.3
+	// minRemainingShare is the least time for which the demand is expected to last, as a
+	// fraction of that average.
+	minRemainingShare = 0.25
+	// mergeTime is the time within which changes of several layers count as one change.
 	mergeTime = 500 * time.Millisecond
-	// unknownLife is the interval that is assumed as long as none has been seen: a
-	// coordinator that has just begun must not wait to plan. Demand of the users'
-	// sites changes every few seconds.
-	unknownLife = 4 * time.Second
+	// defaultInterval is the interval that is assumed until one has been observed: a
+	// coordinator that has just started must not wait with its first plan. At the users'
+	// sites demand changes every few seconds.
+	defaultInterval = 4 * time.Second
 )
 
-// Lifetime estimates for how long the present demand will last, from the intervals
-// between its changes.
+// Lifetime estimates how long the present demand will last, from the intervals between
+// its changes.
 type Lifetime struct {
-	changed time.Time     // latest
-	known   bool          // a change was seen
-	mean    time.Duration // between changes, 0 = no two were seen
+	changed  time.Time     // time of the latest change
+	observed bool          // a change was observed
+	mean     time.Duration // interval between changes, 0 = not yet observed
 }
 
-// NewLifetime returns the estimate of a group whose demand is seen for the first
+// NewLifetime returns the estimate of a group whose demand is observed for the first
 // time.
 func NewLifetime(now time.Time) *Lifetime { return &Lifetime{changed: now} }
 
-// Changed notes a change of the demand.
+// Changed records a change of the demand.
 func (l *Lifetime) Changed(now time.Time) {
 	interval := now.Sub(l.changed)
 	if interval < mergeTime {
 		return
 	}
 	l.changed = now
-	if !l.known {
-		l.known = true // the demand may have begun long after it was looked for
+	if !l.observed {
+		l.observed = true // observation may have started long before the first demand
 		return
 	}
 	if l.mean == 0 {
 		l.mean = interval
 	}
-	l.mean += time.Duration(lifeWeight * float64(interval-l.mean))
+	l.mean += time.Duration(intervalWeight * float64(interval-l.mean))
 }
 
-// Rest returns for how long the present demand is expected to last still.
+// Rest returns for how much longer the present demand is expected to last.
 func (l *Lifetime) Rest(now time.Time) time.Duration {
 	age := now.Sub(l.changed)
 	mean := max(l.mean, age)
 	if l.mean == 0 {
-		mean = max(unknownLife, age)
+		mean = max(defaultInterval, age)
 	}
-	return max(mean-age, time.Duration(leastLife*float64(mean)))
+	return max(mean-age, time.Duration(minRemainingShare*float64(mean)))
 }
--- a/core/expertmap/demand_test.go
+++ b/core/expertmap/demand_test.go
@@ -29,27 +29,27 @@
 	is.True(d.Counts()[0][0] < 0.1)
 }
 
-// Without starting anew, a plan made just after a change would still be one for the
+// Unless the estimate starts anew, a plan made just after a change would still fit the
 // demand before it.
-func TestDemandFollowsAChangeAtOnce(t *testing.T) {
+func TestDemandFollowsAnAbruptChange(t *testing.T) {
 	is := is.New(t)
 	d := NewDemand(Shape{Layers: 1, Experts: 8}, 0.1)
 	for range 20 {
 		d.Add(layerOf(8, 3, 1000))
 	}
-	is.Equal(d.Add(layerOf(8, 5, 10)), 1) // however few tokens show it
+	is.Equal(d.Add(layerOf(8, 5, 10)), 1) // even if only few tokens show it
 	is.True(d.Counts()[0][5] > 0.7)
 	is.True(d.Counts()[0][3] < 0.1)
-	is.Equal(d.Add(NewCounts(Shape{Layers: 1, Experts: 8})), 0) // an idle group says nothing
+	is.Equal(d.Add(NewCounts(Shape{Layers: 1, Experts: 8})), 0) // counts of an idle group have no effect
 	is.True(d.Counts()[0][5] > 0.7)
 }
 
-func TestLifetimeOfTheDemand(t *testing.T) {
+func TestLifetimeEstimatesRemainingTime(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(0, 0)
 	l := NewLifetime(start)
-	is.Equal(l.Rest(start.Add(time.Second)), unknownLife-time.Second) // a new coordinator does not wait
-	is.Equal(l.Rest(start.Add(8*time.Second)), 2*time.Second)         // nothing known but its age
+	is.Equal(l.Rest(start.Add(time.Second)), defaultInterval-time.Second) // a new coordinator does not wait
+	is.Equal(l.Rest(start.Add(8*time.Second)), 2*time.Second)             // only its age is known
 	for i := 1; i <= 20; i++ {
 		l.Changed(start.Add(time.Duration(i) * 4 * time.Second))
 		l.Changed(start.Add(time.Duration(i)*4*time.Second + 100*time.Millisecond)) // further layers
@@ -57,18 +57,18 @@
 	at := start.Add(80 * time.Second)
 	is.Equal(l.Rest(at.Add(time.Second)).Round(100*time.Millisecond), 3*time.Second)
 	is.Equal(l.Rest(at.Add(3900*time.Millisecond)).Round(100*time.Millisecond), time.Second)
-	is.True(l.Rest(at.Add(time.Minute)) > 14*time.Second) // it has become calm
+	is.True(l.Rest(at.Add(time.Minute)) > 14*time.Second) // the demand has not changed for long
 }
 
-// A coordinator that waited ten seconds for the first requests must not take that for the
-// time for which demands last.
-func TestTheFirstChangeSaysNothingOfTheIntervals(t *testing.T) {
+// A coordinator that waited ten seconds for the first requests must not count that time
+// as an interval between changes of the demand.
+func TestFirstChangeIsNotCountedAsAnInterval(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(0, 0)
 	l := NewLifetime(start)
 	at := start.Add(10 * time.Second)
 	l.Changed(at)
-	is.Equal(l.Rest(at.Add(time.Second)), unknownLife-time.Second)
+	is.Equal(l.Rest(at.Add(time.Second)), defaultInterval-time.Second)
 	l.Changed(at.Add(3 * time.Second))
 	is.Equal(l.Rest(at.Add(4*time.Second)), 2*time.Second)
 }
--- a/core/expertmap/expertmap.go
+++ b/core/expertmap/expertmap.go
@@ -15,7 +15,7 @@
 	// ErrTooFewSlots means that the ranks cannot hold every expert once.
 	ErrTooFewSlots = eris.New("expertmap: fewer slots than experts")
 	// ErrShape means that the counts or the map do not fit the group.
-	ErrShape = eris.New("expertmap: wrong shape")
+	ErrShape = eris.New("expertmap: counts or map do not fit the group's shape")
 )
 
 // Shape is the size of a group.
@@ -38,8 +38,8 @@
 	return out
 }
 
-// Initial returns the map of a group that nothing is known about: experts in
-// order, then replicas of the first ones, spread over the ranks.
+// Initial returns the map of a group without any counts yet: experts in order, then
+// replicas of the first ones, spread over the ranks.
 func Initial(s Shape) (Map, error) {
 	if s.Ranks*s.Slots < s.Experts {
 		return Map{}, eris.Wrapf(ErrTooFewSlots, "%d ranks with %d slots for %d experts", s.Ranks, s.Slots, s.Experts)
@@ -60,7 +60,7 @@
 	return m, nil
 }
 
-// InTurn returns the map that holds each expert once, dealt out to the ranks in turn.
+// InTurn returns the map that holds each expert once, assigned to the ranks round-robin.
 // Spare slots are empty.
 func InTurn(s Shape) Map {
 	m := Map{Layers: make([][]int32, s.Layers)}
@@ -78,11 +78,10 @@
 	return m
 }
 
-// Fill picks the expert of the n-th spare slot of an initial map.
+// Fill returns the expert of the n-th spare slot of an initial map.
 func Fill(n int, s Shape) int { return (n + s.Ranks/2) % s.Experts }
 
-// Validate checks that every expert is placed in every layer and that the map
-// has the shape.
+// Validate checks that the map has the shape and places every expert in every layer.
 func (m Map) Validate(s Shape) error {
 	if len(m.Layers) != s.Layers {
 		return eris.Wrapf(ErrShape, "%d layers, want %d", len(m.Layers), s.Layers)
@@ -94,7 +93,7 @@
 		placed := make([]bool, s.Experts)
 		for _, e := range slots {
 			if e < Empty || int(e) >= s.Experts {
-				return eris.Wrapf(ErrShape, "layer %d: expert %d of %d", l, e, s.Experts)
+				return eris.Wrapf(ErrShape, "layer %d: invalid expert %d, the layer has %d", l, e, s.Experts)
 			}
 			if e != Empty {
 				placed[e] = true
@@ -102,25 +101,25 @@
 		}
 		for e, ok := range placed {
 			if !ok {
-				return eris.Wrapf(ErrShape, "layer %d: expert %d is nowhere", l, e)
+				return eris.Wrapf(ErrShape, "layer %d: expert %d is not placed", l, e)
 			}
 		}
 	}
 	return nil
 }
 
-// Remap carries a map over to another set of ranks: what a rank held it still
-// holds, and the slots of new ranks are empty.
+// Remap adapts a map to another set of ranks: a rank in both sets keeps its experts, and
+// the slots of new ranks are empty.
 func Remap(m Map, old, next []vm.ID, slots int) Map {
-	was := make(map[vm.ID]int, len(old))
+	oldRank := make(map[vm.ID]int, len(old))
 	for r, id := range old {
-		was[id] = r
+		oldRank[id] = r
 	}
 	out := Map{Version: m.Version, Layers: make([][]int32, len(m.Layers))}
 	for l := range m.Layers {
 		row := make([]int32, len(next)*slots)
 		for r, id := range next {
-			from, ok := was[id]
+			from, ok := oldRank[id]
 			for s := range slots {
 				row[r*slots+s] = Empty
 				if ok {
@@ -133,8 +132,8 @@
 	return out
 }
 
-// Moves counts the experts that ranks have to load to go from one map to the
-// other: those in a rank's slots that the rank did not hold before.
+// Moves counts the experts that ranks have to load to change from one map to the other:
+// those in a rank's slots that the rank did not hold before.
 func Moves(from, to Map, slots int) int {
 	n := 0
 	for l := range to.Layers {
@@ -146,9 +145,9 @@
 func layerMoves(from, to []int32, slots int) int {
 	n := 0
 	for base := 0; base < len(to); base += slots {
-		had := from[base : base+slots]
+		held := from[base : base+slots]
 		for _, e := range to[base : base+slots] {
-			if e != Empty && !contains(had, e) {
+			if e != Empty && !contains(held, e) {
 				n++
 			}
 		}
@@ -165,7 +164,7 @@
 	return false
 }
 
-// Wire returns the map as it travels on a link.
+// Wire returns the map as its wire message.
 func (m Map) Wire() *wire.ExpertMap {
 	out := &wire.ExpertMap{Version: m.Version}
 	for _, slots := range m.Layers {
--- a/core/expertmap/incremental.go
+++ b/core/expertmap/incremental.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// slowRanks is how many of a layer's slowest ranks changes are looked for on.
+	// slowRanks is the number of slowest ranks of a layer for which changes are searched.
 	slowRanks = 2
-	// hotExperts is how many of a slow rank's experts are tried: the largest.
+	// hotExperts is the number of a slow rank's experts that are tried, those with the
+	// largest shares.
 	hotExperts = 4
 )
 
-// Improve plans like Plan, for groups that switch often and copy slowly: it takes
-// single changes of any layer, best gain for each copied expert first, until no
-// rank may load more or no gain is worth its copies. The skew of a layer is its
-// ranks' times over their mean, in a norm close to the maximum; a single change
-// then seldom brings nothing.
+// Improve plans like Plan, for groups that switch maps often and copy experts slowly: it
+// takes single changes of any layer, largest gain for each copied expert first, until no
+// rank may load more or no gain is worth its copies. It measures the skew of a layer by a
+// norm of the ranks' times over their mean that is close to the maximum, so that most
+// single changes have a measurable effect.
 func Improve(in Input) (Result, error) {
 	if err := in.validate(); err != nil {
 		return Result{}, err
@@ -42,27 +43,27 @@
 
 // search is the state of Improve.
 type search struct {
-	in      Input
-	layers  []*layerState
-	best    []candidate // by layer
-	stale   []bool      // best has to be looked for again
-	total   []int       // experts loaded, by rank
-	inLayer [][]int     // by layer and rank
+	in         Input
+	layers     []*layerState
+	best       []candidate // by layer
+	stale      []bool      // best has to be searched again
+	rankLoads  []int       // experts to load, by rank
+	layerLoads [][]int     // experts to load, by layer and rank
 }
 
-// candidate is a change of one layer with what it brings.
+// candidate is a change of one layer with its gain.
 type candidate struct {
 	change
-	copies [2]int // ranks that load an expert, -1 = none
+	copies [2]int // ranks that have to load an expert, -1 = none
 	gain   float64
 	found  bool
 }
 
 func newSearch(in Input) *search {
-	s := &search{in: in, total: make([]int, in.Shape.Ranks)}
+	s := &search{in: in, rankLoads: make([]int, in.Shape.Ranks)}
 	for l := range in.Shape.Layers {
 		s.layers = append(s.layers, newLayerState(in.Current.Layers[l], in.Counts[l], in.Shape.Slots, in.Speeds))
-		s.inLayer = append(s.inLayer, make([]int, in.Shape.Ranks))
+		s.layerLoads = append(s.layerLoads, make([]int, in.Shape.Ranks))
 	}
 	s.best = make([]candidate, in.Shape.Layers)
 	s.stale = make([]bool, in.Shape.Layers)
@@ -72,7 +73,7 @@
 	return s
 }
 
-// step applies the best change if it is worth the price.
+// step applies the change with the largest gain if that exceeds the price.
 func (s *search) step(price float64) bool {
 	pick := -1
 	for l := range s.layers {
@@ -91,8 +92,8 @@
 	s.layers[pick].apply(c.change)
 	for _, r := range c.copies {
 		if r >= 0 {
-			s.total[r]++
-			s.inLayer[pick][r]++
+			s.rankLoads[r]++
+			s.layerLoads[pick][r]++
 		}
 	}
 	for l := range s.stale {
@@ -101,7 +102,8 @@
 	return true
 }
 
-// blocked reports whether a candidate would load more than a rank may.
+// blocked reports whether a candidate would exceed the number of experts that a rank may
+// load.
 func (s *search) blocked(l int, c candidate) bool {
 	for _, r := range c.copies {
 		if r >= 0 && !s.mayLoad(l, r) {
@@ -112,10 +114,10 @@
 }
 
 func (s *search) mayLoad(l, rank int) bool {
-	if s.in.MaxNewTotal > 0 && s.total[rank] >= s.in.MaxNewTotal {
+	if s.in.MaxNewTotal > 0 && s.rankLoads[rank] >= s.in.MaxNewTotal {
 		return false
 	}
-	return s.in.MaxNew <= 0 || s.inLayer[l][rank] < s.in.MaxNew
+	return s.in.MaxNew <= 0 || s.layerLoads[l][rank] < s.in.MaxNew
 }
 
 // bestOf returns the layer's change with the largest gain for each copy.
@@ -127,14 +129,14 @@
 	}
 	now := layer.norm()
 	layer.findFastest()
-	for _, slow := range layer.slowest2() {
+	for _, slow := range layer.slowestRanks() {
 		s.replicas(l, slow, now, &best)
 		s.swaps(l, slow, now, &best)
 	}
 	return best
 }
 
-// norm returns the layer's skew in the norm, and keeps its powers for after.
+// norm returns the layer's skew in the norm, and keeps the ranks' powers for normAfter.
 func (s *layerState) norm() float64 {
 	s.powers = s.powers[:0]
 	s.powerSum = 0
@@ -151,17 +153,17 @@
 	return math.Sqrt(math.Sqrt(math.Sqrt(max(0, sum) / float64(len(s.times)))))
 }
 
-// power returns the eighth power of x. That norm stands for the slowest rank's time:
-// the power is high enough to follow it, and low enough that a change of the second
-// slowest rank still counts.
+// power returns the eighth power of x. The norm with this exponent approximates the
+// slowest rank's time: the exponent is large enough to follow it, and small enough that a
+// change of the second slowest rank still counts.
 func power(x float64) float64 {
 	x *= x
 	x *= x
 	return x * x
 }
 
-// slowest2 returns the slowRanks slowest ranks.
-func (s *layerState) slowest2() [slowRanks]int {
+// slowestRanks returns the slowRanks slowest ranks.
+func (s *layerState) slowestRanks() [slowRanks]int {
 	first, second := 0, -1
 	for r, t := range s.times {
 		switch {
@@ -174,8 +176,8 @@
 	return [slowRanks]int{first, max(second, 0)}
 }
 
-// replicas tries one more replica of each of the slow rank's experts, in place
-// of a redundant one elsewhere.
+// replicas tries one more replica of each of the slow rank's hottest experts, in place of
+// a redundant one elsewhere.
 func (s *search) replicas(l, slow int, now float64, best *candidate) {
 	layer := s.layers[l]
 	for _, at := range layer.hottestSlots(slow) {
@@ -189,13 +191,14 @@
 					continue
 				}
 				c := candidate{change: change{slot: rank*layer.perRank + i, with: -1, expert: hot}, copies: [2]int{rank, -1}}
-				best.offer(c, now-layer.after(c.change), 1)
+				best.consider(c, now-layer.normAfter(c.change), 1)
 			}
 		}
 	}
 }
 
-// swaps tries to swap each of the slow rank's experts with a smaller one.
+// swaps tries to swap each of the slow rank's hottest experts with one of a smaller
+// share.
 func (s *search) swaps(l, slow int, now float64, best *candidate) {
 	layer := s.layers[l]
 	if !s.mayLoad(l, slow) {
@@ -216,13 +219,13 @@
 					continue
 				}
 				c := candidate{change: change{slot: at, with: rank*layer.perRank + j}, copies: [2]int{slow, rank}}
-				best.offer(c, now-layer.after(c.change), 2)
+				best.consider(c, now-layer.normAfter(c.change), 2)
 			}
 		}
 	}
 }
 
-// hottestSlots returns the rank's slots with the largest shares, that first.
+// hottestSlots returns the rank's slots with the largest shares, in descending order.
 func (s *layerState) hottestSlots(rank int) []int {
 	out := make([]int, 0, hotExperts+1)
 	for i, e := range s.row(rank) {
@@ -239,7 +242,7 @@
 	return out
 }
 
-func (c *candidate) offer(other candidate, gain float64, copies int) {
+func (c *candidate) consider(other candidate, gain float64, copies int) {
 	if other.gain = gain / float64(copies); other.gain > c.gain+costEpsilon {
 		other.found = true
 		*c = other
@@ -248,34 +251,35 @@
 
 func (s *layerState) row(rank int) []int32 { return s.slots[rank*s.perRank : (rank+1)*s.perRank] }
 
-// after returns the norm that the layer would have after the change, as far as
-// norm was called since the last one was applied.
-func (s *layerState) after(c change) float64 {
+// normAfter returns the norm that the layer would have after the change. It relies on the
+// powers that norm stored, so norm must have been called since the last change was
+// applied.
+func (s *layerState) normAfter(c change) float64 {
 	at := c.slot / s.perRank
-	sum := s.powerSum + s.changeOf(c, at)
+	sum := s.powerSum + s.powerDelta(c, at)
 	if c.with >= 0 {
-		return s.root(sum + s.changeOf(c, c.with/s.perRank))
+		return s.root(sum + s.powerDelta(c, c.with/s.perRank))
 	}
 	for _, r := range s.holders[c.expert] {
-		sum += s.changeOf(c, r)
+		sum += s.powerDelta(c, r)
 	}
 	if old := s.slots[c.slot]; old != Empty {
 		for _, r := range s.holders[old] {
 			if r != at && !contains(s.row(r), c.expert) {
-				sum += s.changeOf(c, r)
+				sum += s.powerDelta(c, r)
 			}
 		}
 	}
 	return s.root(sum)
 }
 
-// changeOf returns by how much the change alters a rank's power.
-func (s *layerState) changeOf(c change, r int) float64 {
-	return power((s.times[r]+s.delta(c, r))/s.mean) - s.powers[r]
+// powerDelta returns by how much the change alters a rank's power.
+func (s *layerState) powerDelta(c change, r int) float64 {
+	return power((s.times[r]+s.timeDelta(c, r))/s.mean) - s.powers[r]
 }
 
-// delta returns by how much the change alters a rank's time.
-func (s *layerState) delta(c change, rank int) float64 {
+// timeDelta returns by how much the change alters a rank's time.
+func (s *layerState) timeDelta(c change, rank int) float64 {
 	d := 0.0
 	if c.with >= 0 {
 		moved := s.share(s.slots[c.slot]) - s.share(s.slots[c.with])
--- a/core/expertmap/incremental_test.go
+++ b/core/expertmap/incremental_test.go
@@ -19,7 +19,7 @@
 	return counts
 }
 
-func TestImproveKeepsItsBounds(t *testing.T) {
+func TestImproveRespectsLoadLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		shape := Shape{
@@ -55,7 +55,7 @@
 	}
 }
 
-// A few rounds of a few copies bring the skew of a fresh group close to one.
+// A few rounds with a few copies each bring the skew of a new group close to one.
 func TestImproveConvergesInSmallSteps(t *testing.T) {
 	is := is.New(t)
 	shape := Shape{Ranks: 8, Slots: 11, Layers: 6, Experts: 64}
@@ -77,7 +77,8 @@
 	is.True(after < 1.2)
 }
 
-// A change that was scored before a rank's budget was used up is not taken.
+// A change that was scored before its rank reached the limit on loads must not be
+// applied.
 func TestImproveRescoresBlockedChanges(t *testing.T) {
 	is := is.New(t)
 	shape := Shape{Ranks: 2, Slots: 3, Layers: 3, Experts: 4}
--- a/core/expertmap/large_test.go
+++ b/core/expertmap/large_test.go
@@ -8,11 +8,11 @@
 	"github.com/matryer/is"
 )
 
-// largeShape is a group of 96 ranks with half as many spare places as experts.
+// largeShape is a group of 96 ranks with half as many spare slots as experts.
 var largeShape = Shape{Ranks: 96, Slots: 3, Layers: 16, Experts: 192}
 
-// largeCounts are the counts of a demand in which the k-th most popular expert of a
-// layer is asked for in proportion to k^-0.53.
+// largeCounts returns counts in which the demand for the k-th most popular expert of a
+// layer is proportional to k^-0.53.
 func largeCounts(rnd *rand.Rand) Counts {
 	counts := NewCounts(largeShape)
 	for l := range counts {
@@ -41,9 +41,9 @@
 	}
 }
 
-// Two switches of eight copies a rank take a group of 96 from the initial map to an even
-// spread; then nothing is worth its copies.
-func TestALargeGroupIsEvenAfterTwoSwitches(t *testing.T) {
+// Two switches with eight copies per rank take a group of 96 ranks from the initial map
+// to an even spread; after that, no change is worth its copies.
+func TestLargeGroupIsBalancedAfterTwoSwitches(t *testing.T) {
 	is := is.New(t)
 	counts := largeCounts(rand.New(rand.NewPCG(1, 2)))
 	current, err := Initial(largeShape)
--- a/core/expertmap/layer.go
+++ b/core/expertmap/layer.go
@@ -9,10 +9,10 @@
 	counts   []float64
 	speeds   []float64
 	replicas []int
-	holders  [][]int   // ranks by expert, one entry a replica
+	holders  [][]int   // ranks by expert, one entry per replica
 	times    []float64 // by rank
 	mean     float64
-	fastest  []int     // scratch: the fastest ranks by rising time
+	fastest  []int     // scratch: the fastest ranks in ascending order of time
 	powers   []float64 // scratch of norm, by rank
 	powerSum float64
 }
@@ -68,8 +68,8 @@
 	score      float64
 }
 
-// improve applies the change that lowers the time of the slowest rank, and of
-// the ranks it touches, the most. It reports false if none does.
+// improve applies the change that most reduces the time of the slowest rank and of the
+// ranks it touches. It reports false if none does.
 func (s *layerState) improve() bool {
 	slow := 0
 	for r := range s.times {
@@ -93,7 +93,7 @@
 	return found
 }
 
-// findFastest fills in the fastest ranks, in order.
+// findFastest fills in the fastest ranks, in ascending order of time.
 func (s *layerState) findFastest() {
 	s.fastest = s.fastest[:0]
 	for r, t := range s.times {
@@ -180,8 +180,8 @@
 	return hot
 }
 
-// replicaScore returns the largest time among the ranks that hold either
-// expert after one replica of old on the rank gives way to one of hot.
+// replicaScore returns the largest time among the ranks that hold either expert after one
+// replica of old on the rank is replaced by one of hot.
 func (s *layerState) replicaScore(slow, rank int, hot, old int32) float64 {
 	hotDrop := s.share(hot) - s.counts[hot]/float64(s.replicas[hot]+1)
 	added := s.counts[hot] / float64(s.replicas[hot]+1)
@@ -208,17 +208,17 @@
 	return score
 }
 
-// rebalanceReplicas gives one more replica to the expert that lacks one most,
-// in place of one of an expert that has more than it should. It leads the search
-// out of a placement in which no single change lowers the slowest rank's time.
+// rebalanceReplicas adds a replica of the expert with the largest share among those below
+// their ideal number, in place of one of an expert above its own. It leads the search out
+// of a placement in which no single change reduces the slowest rank's time.
 func (s *layerState) rebalanceReplicas(ideal []int) bool {
-	needy := Empty
+	lacking := Empty
 	for e := range ideal {
-		if s.replicas[e] < ideal[e] && (needy == Empty || s.share(int32(e)) > s.share(needy)) {
-			needy = int32(e)
+		if s.replicas[e] < ideal[e] && (lacking == Empty || s.share(int32(e)) > s.share(lacking)) {
+			lacking = int32(e)
 		}
 	}
-	if needy == Empty {
+	if lacking == Empty {
 		return false
 	}
 	best := -1
@@ -227,7 +227,7 @@
 		if old != Empty && s.replicas[old] <= ideal[old] {
 			continue
 		}
-		if contains(s.slots[rank*s.perRank:(rank+1)*s.perRank], needy) {
+		if contains(s.slots[rank*s.perRank:(rank+1)*s.perRank], lacking) {
 			continue
 		}
 		if best < 0 || s.times[rank] < s.times[best/s.perRank] {
@@ -237,12 +237,12 @@
 	if best < 0 {
 		return false
 	}
-	s.apply(change{slot: best, with: -1, expert: needy})
+	s.apply(change{slot: best, with: -1, expert: lacking})
 	return true
 }
 
-// move notes that a replica of an expert went from one rank to another.
-func (s *layerState) move(e int32, from, to int) {
+// moveReplica records that a replica of an expert moved from one rank to another.
+func (s *layerState) moveReplica(e int32, from, to int) {
 	if e == Empty {
 		return
 	}
@@ -251,8 +251,8 @@
 
 func (s *layerState) apply(c change) {
 	if c.with >= 0 {
-		s.move(s.slots[c.slot], c.slot/s.perRank, c.with/s.perRank)
-		s.move(s.slots[c.with], c.with/s.perRank, c.slot/s.perRank)
+		s.moveReplica(s.slots[c.slot], c.slot/s.perRank, c.with/s.perRank)
+		s.moveReplica(s.slots[c.with], c.with/s.perRank, c.slot/s.perRank)
 		s.slots[c.slot], s.slots[c.with] = s.slots[c.with], s.slots[c.slot]
 		s.times[c.slot/s.perRank] = s.timeOf(c.slot / s.perRank)
 		s.times[c.with/s.perRank] = s.timeOf(c.with / s.perRank)
--- a/core/expertmap/pack.go
+++ b/core/expertmap/pack.go
@@ -13,9 +13,9 @@
 // 45 kB.
 const maxPacked = 1 << 20
 
-// Pack returns the map's slots in few bytes: as varints of expert + 1, compressed. The
-// initial map of 96 ranks, 16 layers and 3 slots takes 0.5 kB in place of 7, one that
-// was planned 5 kB.
+// Pack encodes the map's slots compactly: as varints of expert + 1, compressed. The
+// initial map of 96 ranks, 16 layers and 3 slots takes 0.5 kB instead of 7 kB, a planned
+// one 5 kB.
 func (m Map) Pack() []byte {
 	raw := binary.AppendUvarint(nil, uint64(len(m.Layers)))
 	for _, row := range m.Layers {
@@ -34,7 +34,7 @@
 	return out.Bytes()
 }
 
-// Unpack returns the map of a version from its packed slots.
+// Unpack decodes the packed slots of a map of the given version.
 func Unpack(version uint64, packed []byte) (Map, error) {
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxPacked))
 	if err != nil {
@@ -48,33 +48,33 @@
 			m.Layers[l][i] = int32(r.next()) - 1
 		}
 	}
-	if r.broken || len(r.raw) > 0 {
-		return Map{}, eris.Wrap(ErrShape, "packed map: not a map")
+	if r.invalid || len(r.raw) > 0 {
+		return Map{}, eris.Wrap(ErrShape, "packed map: invalid encoding")
 	}
 	return m, nil
 }
 
-// varintReader takes unsigned varints off a buffer.
+// varintReader reads unsigned varints from a buffer.
 type varintReader struct {
-	raw    []byte
-	broken bool
+	raw     []byte
+	invalid bool
 }
 
 func (r *varintReader) next() uint64 {
 	v, n := binary.Uvarint(r.raw)
 	if n <= 0 {
-		r.broken, r.raw = true, nil
+		r.invalid, r.raw = true, nil
 		return 0
 	}
 	r.raw = r.raw[n:]
 	return v
 }
 
-// count returns a number of things that follow, each of one byte at least.
+// count reads the number of elements that follow, each at least one byte long.
 func (r *varintReader) count() int {
 	n := r.next()
 	if n > uint64(len(r.raw)) {
-		r.broken, r.raw = true, nil
+		r.invalid, r.raw = true, nil
 		return 0
 	}
 	return int(n)
--- a/core/expertmap/pack_test.go
+++ b/core/expertmap/pack_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestPackedMapsComeBack(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		m := Map{Version: rapid.Uint64().Draw(t, "version"), Layers: [][]int32{}}
@@ -20,11 +20,11 @@
 	})
 }
 
-func TestWhatIsNoPackedMapIsRefused(t *testing.T) {
+func TestUnpackRejectsInvalidInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		raw := rapid.SliceOfN(rapid.Byte(), 0, 60).Draw(t, "raw")
 		if m, err := Unpack(1, raw); err == nil {
-			// What is taken for a map has the bytes of one.
+			// Input that decodes is a valid map, so it survives another round trip.
 			again, err := Unpack(1, m.Pack())
 			is := is.New(t)
 			is.NoErr(err)
@@ -37,7 +37,7 @@
 	is.True(err != nil)
 }
 
-// The first map that a group's ranks are sent is close to the initial one.
+// The first map sent to the ranks of a group is close to the initial one.
 func TestTheInitialMapOfALargeGroupIsSmall(t *testing.T) {
 	is := is.New(t)
 	m, err := Initial(largeShape)
--- a/core/expertmap/plan.go
+++ b/core/expertmap/plan.go
@@ -8,22 +8,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// Input is all that a plan depends on; equal inputs give equal plans.
+// Input is everything that a plan depends on; equal inputs give equal plans.
 type Input struct {
 	Shape   Shape
 	Counts  Counts    // forecast tokens by layer and expert
 	Speeds  []float64 // by rank, 1 = nominal; nil = all nominal
-	Current Map       // the map in use, remapped to the ranks of the shape
-	// Price is the skew of a layer that one expert move must be worth.
+	Current Map       // map in use, remapped to the ranks of the shape
+	// Price is the reduction of a layer's skew that one expert move has to bring.
 	Price float64
-	// MaxNew is how many experts of a layer a rank may load, 0 = any number.
+	// MaxNew bounds the experts of one layer that a rank may load, 0 = no limit.
 	MaxNew int
-	// MaxNewTotal is how many experts of all layers a rank may load, 0 = any
-	// number. Layers whose moves bring most come first.
+	// MaxNewTotal bounds the experts of all layers that a rank may load, 0 = no limit.
+	// Layers with the largest gain for each move come first.
 	MaxNewTotal int
 }
 
-// Result is a plan and what it is expected to bring.
+// Result is a plan with its expected effect.
 type Result struct {
 	Map        Map
 	SkewBefore float64 // 0 if the current map did not place every expert
@@ -37,8 +37,8 @@
 	targetRanks = 4
 	// changesPerRank bounds the changes tried in one layer, per rank.
 	changesPerRank = 4
-	// patience is how many changes in a row may bring nothing.
-	patience = 48
+	// maxWithoutGain bounds the consecutive changes that bring no improvement.
+	maxWithoutGain = 48
 )
 
 func (in Input) validate() error {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// Plan improves the current map where that is worth the moves.
+// Plan improves the current map where the gain is worth the moves.
 func Plan(in Input) (Result, error) {
 	if err := in.validate(); err != nil {
 		return Result{}, err
@@ -70,7 +70,7 @@
 	for l := range in.Shape.Layers {
 		res.Map.Layers[l] = planLayer(in, l)
 	}
-	in.bound(res.Map)
+	in.limitLoads(res.Map)
 	res.SkewAfter = Skew(res.Map, in.Counts, in.Shape.Slots, in.Speeds)
 	res.Moves = Moves(in.Current, res.Map, in.Shape.Slots)
 	if res.Moves > 0 {
@@ -89,9 +89,9 @@
 	ideal := replicate(in.Counts[l], in.Shape)
 	best := append([]int32(nil), s.slots...)
 	bestCost := s.slowest() / s.mean
-	idle := 0
+	withoutGain := 0
 	for range changesPerRank * in.Shape.Ranks {
-		if idle++; idle > patience {
+		if withoutGain++; withoutGain > maxWithoutGain {
 			break
 		}
 		if !s.improve() && !s.rebalanceReplicas(ideal) {
@@ -99,11 +99,11 @@
 		}
 		moves := layerMoves(start, s.slots, in.Shape.Slots)
 		cost := s.slowest()/s.mean + in.Price*float64(moves)
-		if in.MaxNew > 0 && mostNew(start, s.slots, in.Shape.Slots) > in.MaxNew {
+		if in.MaxNew > 0 && maxNewExperts(start, s.slots, in.Shape.Slots) > in.MaxNew {
 			continue
 		}
 		if cost < bestCost-costEpsilon {
-			bestCost, idle = cost, 0
+			bestCost, withoutGain = cost, 0
 			copy(best, s.slots)
 		}
 	}
@@ -113,8 +113,8 @@
 // costEpsilon keeps rounding errors from counting as gains.
 const costEpsilon = 1e-9
 
-// placeMissing puts every expert that has no slot into the best one: an empty
-// slot of the least loaded rank, or else a redundant replica's.
+// placeMissing places every expert that has no slot: in an empty slot of the least loaded
+// rank, or else in place of a redundant replica.
 func placeMissing(slots []int32, counts []float64, shape Shape, speeds []float64) {
 	replicas := make([]int, shape.Experts)
 	for _, e := range slots {
@@ -158,8 +158,8 @@
 	return best
 }
 
-// Repack plans a map from nothing but the counts: the baseline that has the
-// least skew and the most moves.
+// Repack plans a map from the counts alone: the baseline with the least skew and the most
+// moves.
 func Repack(in Input) (Result, error) {
 	if err := in.validate(); err != nil {
 		return Result{}, err
@@ -210,8 +210,7 @@
 	return slots
 }
 
-// replicate spreads the spare slots over the experts with the largest load per
-// replica.
+// replicate distributes the spare slots to the experts with the largest load per replica.
 func replicate(counts []float64, shape Shape) []int {
 	h := &replicaHeap{replicas: make([]int, shape.Experts), counts: counts}
 	for e := range shape.Experts {
--- a/core/expertmap/skew.go
+++ b/core/expertmap/skew.go
@@ -1,6 +1,6 @@
 package expertmap
 
-// Counts are the tokens that each expert of each layer got.
+// Counts are the tokens routed to each expert, by layer.
 type Counts [][]float64
 
 // NewCounts returns zero counts of the shape.
@@ -21,7 +21,7 @@
 	return out
 }
 
-// Smooth folds newer counts in, giving them the weight alpha from 0 to 1.
+// Smooth merges newer counts in with the weight alpha, from 0 to 1.
 func (c Counts) Smooth(newer Counts, alpha float64) {
 	for l := range c {
 		for e := range c[l] {
@@ -30,9 +30,9 @@
 	}
 }
 
-// Skew returns the step time of the map over that of a perfectly even spread:
-// the sum over layers of the slowest rank's time, over the sum of the means.
-// Speeds weigh the ranks; nil means that all are equal.
+// Skew returns the step time of the map over that of a perfectly even spread: the sum
+// over layers of the slowest rank's time, over the sum of the means. Speeds are by rank;
+// nil means that all are equal.
 func Skew(m Map, counts Counts, slots int, speeds []float64) float64 {
 	slowest, mean := 0.0, 0.0
 	for l := range m.Layers {
@@ -51,9 +51,9 @@
 // spare slots.
 func LowerBound(counts Counts, s Shape, speeds []float64) float64 {
 	replicas := min(s.Ranks, s.Ranks*s.Slots-s.Experts+1)
-	top := 0.0
+	maxSpeed := 0.0
 	for r := range s.Ranks {
-		top = max(top, speedOf(speeds, r))
+		maxSpeed = max(maxSpeed, speedOf(speeds, r))
 	}
 	slowest, mean := 0.0, 0.0
 	for l := range counts {
@@ -63,7 +63,7 @@
 			hottest = max(hottest, n)
 		}
 		layerMean := total / totalSpeed(speeds, s.Ranks)
-		slowest += max(layerMean, hottest/float64(replicas)/top)
+		slowest += max(layerMean, hottest/float64(replicas)/maxSpeed)
 		mean += layerMean
 	}
 	if mean == 0 {
