--- a/agent/record/answer.go
+++ b/agent/record/answer.go
@@ -9,13 +9,13 @@
 	"baywall.example/core/wire"
 )
 
-// window is how many bytes of one answer are kept, and how far the engine may
-// run ahead of the slowest reader.
+// window bounds the bytes of one answer that are kept, and how far the engine may run
+// ahead of the slowest reader.
 const window = 256 << 10
 
 // Errors of an Answer.
 var (
-	// ErrEvicted means that the part of the answer asked for is not kept.
+	// ErrEvicted means that the requested part of the answer is no longer kept.
 	ErrEvicted = eris.New("record: answer evicted")
 	// ErrAborted means that the engine did not finish the answer.
 	ErrAborted = eris.New("record: answer aborted")
@@ -29,14 +29,14 @@
 	Headers []*wire.Header
 }
 
-// Answer is one answer while it is made and as long as it is kept. One
-// goroutine produces it; any number may read it, each from its own offset.
+// Answer is one answer, from its production until it is dropped. One goroutine produces
+// it; any number may read it, each from its own offset.
 type Answer struct {
 	mu      sync.Mutex
 	cond    *sync.Cond
 	head    *Head
-	kept    []byte
-	base    int64 // offset of kept[0]
+	buffer  []byte
+	base    int64 // offset of buffer[0]
 	done    bool
 	err     error
 	dropped bool
@@ -57,11 +57,11 @@
 	a.cond.Broadcast()
 }
 
-// SetAll publishes a whole answer, or what there is of it, at once.
+// SetAll publishes a complete answer at once, or the available part of it with an error.
 func (a *Answer) SetAll(h Head, body []byte, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.head, a.kept, a.done, a.err = &h, body, true, err
+	a.head, a.buffer, a.done, a.err = &h, body, true, err
 	a.cond.Broadcast()
 }
 
@@ -70,12 +70,12 @@
 func (a *Answer) Append(ctx context.Context, p []byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.kept = append(a.kept, p...)
+	a.buffer = append(a.buffer, p...)
 	a.trim()
-	if len(a.kept) > window && len(a.readers) > 0 {
-		stop := context.AfterFunc(ctx, a.wake)
+	if len(a.buffer) > window && len(a.readers) > 0 {
+		stop := context.AfterFunc(ctx, a.broadcast)
 		defer stop()
-		for len(a.kept) > window && len(a.readers) > 0 && ctx.Err() == nil {
+		for len(a.buffer) > window && len(a.readers) > 0 && ctx.Err() == nil {
 			a.cond.Broadcast()
 			a.cond.Wait()
 			a.trim()
@@ -87,19 +87,19 @@
 
 // trim drops bytes beyond the window that every reader has passed.
 func (a *Answer) trim() {
-	excess := int64(len(a.kept) - window)
+	excess := int64(len(a.buffer) - window)
 	for r := range a.readers {
 		excess = min(excess, r.offset-a.base)
 	}
 	if excess <= 0 {
 		return
 	}
-	a.kept = append(a.kept[:0], a.kept[excess:]...)
+	a.buffer = append(a.buffer[:0], a.buffer[excess:]...)
 	a.base += excess
 }
 
-// Finish ends the answer; a non-nil error means that it is not whole. Only
-// the first call counts.
+// Finish ends the answer; a non-nil error means that it is incomplete. Only the first
+// call has an effect.
 func (a *Answer) Finish(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -111,29 +111,29 @@
 	a.cond.Broadcast()
 }
 
-func (a *Answer) wake() {
+func (a *Answer) broadcast() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cond.Broadcast()
 }
 
-// save returns the bytes kept by a finished answer.
-func (a *Answer) save() int64 {
+// size returns the number of buffered bytes.
+func (a *Answer) size() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return int64(len(a.kept))
+	return int64(len(a.buffer))
 }
 
-// drop frees the kept bytes and returns how many they were.
+// drop frees the buffered bytes and returns their number.
 func (a *Answer) drop() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.dropped {
 		return 0
 	}
-	n := int64(len(a.kept))
+	n := int64(len(a.buffer))
 	a.base += n
-	a.kept = nil
+	a.buffer = nil
 	a.dropped = true
 	a.cond.Broadcast()
 	return n
@@ -146,13 +146,13 @@
 	return len(a.readers)
 }
 
-// Reader follows one answer from an offset.
+// Reader reads one answer from an offset.
 type Reader struct {
 	answer *Answer
 	offset int64
 }
 
-// Attach returns a reader from the offset; it must be detached after use.
+// Attach returns a reader that starts at the offset; it must be detached after use.
 func (a *Answer) Attach(offset int64) *Reader {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -175,7 +175,7 @@
 	a := r.answer
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	stop := context.AfterFunc(ctx, a.wake)
+	stop := context.AfterFunc(ctx, a.broadcast)
 	defer stop()
 	for a.head == nil && !a.done && ctx.Err() == nil {
 		a.cond.Wait()
@@ -189,25 +189,25 @@
 	return Head{}, ctx.Err()
 }
 
-// Next waits for more bytes and copies them to p. It returns io-like results:
-// n > 0, or done with the total size, or an error if the answer is not whole
-// or the bytes at the reader's offset are no longer kept.
+// Next waits for more bytes and copies them to p. It returns n > 0, or done at the end of
+// the answer, or an error if the answer is incomplete or the bytes at the reader's offset
+// are no longer kept.
 func (r *Reader) Next(ctx context.Context, p []byte) (n int, done bool, err error) {
 	a := r.answer
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	stop := context.AfterFunc(ctx, a.wake)
+	stop := context.AfterFunc(ctx, a.broadcast)
 	defer stop()
-	for r.offset >= a.base+int64(len(a.kept)) && !a.done && !a.dropped && ctx.Err() == nil {
+	for r.offset >= a.base+int64(len(a.buffer)) && !a.done && !a.dropped && ctx.Err() == nil {
 		a.cond.Wait()
 	}
 	if r.offset < a.base {
 		return 0, false, ErrEvicted
 	}
-	if at := r.offset - a.base; at < int64(len(a.kept)) {
-		n = copy(p, a.kept[at:])
+	if at := r.offset - a.base; at < int64(len(a.buffer)) {
+		n = copy(p, a.buffer[at:])
 		r.offset += int64(n)
-		if len(a.kept) > window {
+		if len(a.buffer) > window {
 			a.cond.Broadcast()
 		}
 		return n, false, nil
@@ -218,12 +218,12 @@
 	return 0, false, ctx.Err()
 }
 
-// Ready reports whether Next has something to return at once.
+// Ready reports whether Next returns without waiting.
 func (r *Reader) Ready() bool {
 	r.answer.mu.Lock()
 	defer r.answer.mu.Unlock()
 	a := r.answer
-	return r.offset < a.base+int64(len(a.kept)) || a.done || a.dropped
+	return r.offset < a.base+int64(len(a.buffer)) || a.done || a.dropped
 }
 
 // Offset returns the offset of the next byte.
--- a/agent/record/table.go
+++ b/agent/record/table.go
@@ -11,7 +11,7 @@
 	"baywall.example/core/vm"
 )
 
-// State is how far an attempt got.
+// State is how far an attempt has progressed.
 type State int
 
 // States of an attempt.
@@ -22,12 +22,12 @@
 	StateTombstoned
 )
 
-// Action tells what to do with an attempt that arrived.
+// Action is what to do with an attempt that arrived.
 type Action int
 
-// Actions.
+// Values of Action.
 const (
-	ActionRun    Action = iota + 1 // hand it over
+	ActionRun    Action = iota + 1 // hand it over to the engine
 	ActionJoin                     // stream the answer of Verdict.Attempt
 	ActionRefuse                   // send Verdict.Refusal
 )
@@ -41,10 +41,9 @@
 
 // Limits bound a Table's memory and times. Zero fields get the defaults.
 type Limits struct {
-	// Finished is how many finished attempts without a ticket are kept.
-	// Default 4096.
+	// Finished bounds the finished attempts without a ticket that are kept. Default 4096.
 	Finished int
-	// Tickets is how many tickets are remembered. Default 65536.
+	// Tickets bounds the tickets that are remembered. Default 65536.
 	Tickets int
 	// AnswerBytes bounds the saved answers of finished attempts. Default 8 MiB.
 	AnswerBytes int64
@@ -93,11 +92,11 @@
 }
 
 type attemptShard struct {
-	mu       sync.Mutex
-	attempts map[contract.AttemptID]*Attempt
-	finished []*Attempt // oldest first
-	dead     []*Attempt // tombstones, oldest first
-	dropped  time.Time  // when the newest forgotten attempt had finished
+	mu              sync.Mutex
+	attempts        map[contract.AttemptID]*Attempt
+	finished        []*Attempt // oldest first
+	tombstones      []*Attempt // oldest first
+	newestForgotten time.Time  // finish time of the newest attempt that was forgotten
 }
 
 type nonceShard struct {
@@ -107,8 +106,8 @@
 }
 
 type ticketExpiry struct {
-	nonce string
-	at    time.Time
+	nonce   string
+	expires time.Time
 }
 
 // Attempt is one recorded attempt.
@@ -141,7 +140,7 @@
 	return Verdict{Action: ActionRefuse, Refusal: &contract.Refusal{Outcome: o, Reason: r}}
 }
 
-// Accept records an attempt that arrived at now and decides what to do.
+// Accept records an attempt that arrived at time now and decides what to do with it.
 func (t *Table) Accept(id contract.AttemptID, ticket *contract.Ticket, now time.Time) Verdict {
 	if ticket == nil {
 		return t.accept(id, false, now)
@@ -154,36 +153,36 @@
 	defer shard.mu.Unlock()
 	t.forgetTickets(shard, now)
 	if first := shard.nonces[ticket.Nonce]; first != nil {
-		return t.presentAgain(first)
+		return t.acceptRepeated(first)
 	}
 	if now.After(ticket.Expires) {
 		return refuse(contract.NotRun, contract.ReasonTicketExpired)
 	}
 	if t.tickets.Load() >= int64(t.limits.Tickets) {
-		return refuse(contract.Unknown, contract.ReasonOverload) // not remembered: it may run later
+		return refuse(contract.Unknown, contract.ReasonOverload) // the ticket is not remembered, so it may run later
 	}
 	v := t.accept(id, true, now)
 	t.tickets.Add(1)
-	shard.queue = append(shard.queue, ticketExpiry{ticket.Nonce, t.forgetAt(ticket)})
+	shard.queue = append(shard.queue, ticketExpiry{ticket.Nonce, t.nonceExpiry(ticket)})
 	shard.nonces[ticket.Nonce] = v.Attempt
 	return v
 }
 
-// presentAgain decides on a further presentation of a ticket. Once a caller was
-// told "not-run" the ticket is void: another presentation may be on its way.
-func (t *Table) presentAgain(first *Attempt) Verdict {
+// acceptRepeated decides on a further presentation of a ticket. Once a caller received
+// "not-run" the ticket is void: another presentation may be in transit.
+func (t *Table) acceptRepeated(first *Attempt) Verdict {
 	if t.stateOf(first) == StateTombstoned {
 		return refuse(contract.NotRun, contract.ReasonTombstoned)
 	}
 	return Verdict{Action: ActionJoin, Attempt: first}
 }
 
-// forgetAt returns when a ticket's nonce may be forgotten.
-func (t *Table) forgetAt(ticket *contract.Ticket) time.Time {
+// nonceExpiry returns when a ticket's nonce may be forgotten.
+func (t *Table) nonceExpiry(ticket *contract.Ticket) time.Time {
 	return ticket.Expires.Add(t.limits.TicketGrace)
 }
 
-// checkTicket refuses a ticket that this incarnation cannot answer for.
+// checkTicket refuses a ticket whose outcome this incarnation cannot know.
 func (t *Table) checkTicket(ticket *contract.Ticket, now time.Time) Verdict {
 	if ticket.VM != t.id {
 		return refuse(contract.Unknown, contract.ReasonTicketInvalid)
@@ -195,17 +194,17 @@
 		}
 		return refuse(contract.Unknown, contract.ReasonReplacedAgent)
 	}
-	if now.After(t.forgetAt(ticket).Add(-t.limits.ClockSkew)) {
+	if now.After(t.nonceExpiry(ticket).Add(-t.limits.ClockSkew)) {
 		return refuse(contract.Unknown, contract.ReasonTicketForgotten)
 	}
 	return Verdict{}
 }
 
 func (t *Table) forgetTickets(shard *nonceShard, now time.Time) {
-	for len(shard.queue) > 0 && now.After(shard.queue[0].at) {
+	for len(shard.queue) > 0 && now.After(shard.queue[0].expires) {
 		a := shard.nonces[shard.queue[0].nonce]
 		if a != nil && t.running(a) {
-			return // remembered until it has ended
+			return // remembered until the attempt has ended
 		}
 		delete(shard.nonces, shard.queue[0].nonce)
 		shard.queue = shard.queue[1:]
@@ -230,11 +229,11 @@
 	t.dropAnswer(a)
 }
 
-// forget drops an attempt's state and notes when it had finished.
+// forget drops an attempt's state and records when it finished.
 func (s *attemptShard) forget(a *Attempt) {
 	delete(s.attempts, a.ID)
-	if a.finished.After(s.dropped) {
-		s.dropped = a.finished
+	if a.finished.After(s.newestForgotten) {
+		s.newestForgotten = a.finished
 	}
 }
 
@@ -263,8 +262,8 @@
 	return Verdict{Action: ActionRun, Attempt: a}
 }
 
-// HandOver marks an accepted attempt as given to the engine. It returns false
-// if the attempt was tombstoned; the engine must not see it then.
+// HandOver marks an accepted attempt as given to the engine. It returns false if the
+// attempt was tombstoned; then it must not be sent to the engine.
 func (t *Table) HandOver(a *Attempt) bool {
 	shard := t.shard(a.ID)
 	shard.mu.Lock()
@@ -276,25 +275,25 @@
 	return true
 }
 
-// Withdraw tombstones an attempt whose hand-over provably did not happen,
-// such as one whose engine could not be dialed.
+// Withdraw tombstones an attempt that provably did not reach the engine, for example
+// because the engine could not be dialed.
 func (t *Table) Withdraw(a *Attempt, until time.Time) {
 	shard := t.shard(a.ID)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	t.bury(shard, a, until)
+	t.tombstone(shard, a, until)
 }
 
-func (t *Table) bury(shard *attemptShard, a *Attempt, until time.Time) {
+func (t *Table) tombstone(shard *attemptShard, a *Attempt, until time.Time) {
 	a.state = StateTombstoned
 	a.expires = until
 	shard.attempts[a.ID] = a
-	shard.dead = append(shard.dead, a)
+	shard.tombstones = append(shard.tombstones, a)
 	a.Answer.Finish(ErrTombstoned)
 }
 
-// Finish marks a handed-over attempt as ended; its answer can be resumed for
-// the retention time.
+// Finish marks a handed-over attempt as ended. Its answer can be resumed for the
+// retention time.
 func (t *Table) Finish(a *Attempt, now time.Time) {
 	shard := t.shard(a.ID)
 	shard.mu.Lock()
@@ -305,7 +304,7 @@
 	a.state = StateAnswered
 	a.finished = now
 	a.expires = now.Add(t.limits.Retention)
-	saved := t.savedBytes.Add(a.Answer.save())
+	saved := t.savedBytes.Add(a.Answer.size())
 	shard.finished = append(shard.finished, a)
 	t.expire(shard, now)
 	for len(shard.finished) > 1 && (saved > t.limits.AnswerBytes || len(shard.finished) > t.limits.Finished/shardCount) {
@@ -314,19 +313,19 @@
 	}
 }
 
-// expire drops finished attempts and tombstones whose time is over.
+// expire drops finished attempts and tombstones that have expired.
 func (t *Table) expire(shard *attemptShard, now time.Time) {
 	for len(shard.finished) > 0 && now.After(shard.finished[0].expires) {
 		t.dropOldest(shard)
 	}
-	for len(shard.dead) > 0 && now.After(shard.dead[0].expires) {
-		delete(shard.attempts, shard.dead[0].ID)
-		shard.dead = shard.dead[1:]
+	for len(shard.tombstones) > 0 && now.After(shard.tombstones[0].expires) {
+		delete(shard.attempts, shard.tombstones[0].ID)
+		shard.tombstones = shard.tombstones[1:]
 	}
 }
 
-// dropOldest drops the oldest finished attempt's answer and, unless a ticket
-// still stands for it, its state.
+// dropOldest drops the oldest finished attempt's answer and, unless the attempt has a
+// ticket, its state.
 func (t *Table) dropOldest(shard *attemptShard) {
 	a := shard.finished[0]
 	shard.finished[0] = nil
@@ -341,30 +340,30 @@
 	t.savedBytes.Add(-a.Answer.drop())
 }
 
-// Fate is what became of an attempt.
+// Fate is what is known of an attempt.
 type Fate int
 
-// Fates.
+// Values of Fate.
 const (
-	FateTombstoned Fate = iota + 1 // not run and never will be
-	FateRunning                    // handed over, not ended: can be resumed
-	FateAnswered                   // ended: can be resumed while it is kept
-	FateLost                       // this incarnation cannot tell
+	FateTombstoned Fate = iota + 1 // did not run and never will
+	FateRunning                    // handed over and not ended: can be resumed
+	FateAnswered                   // ended: can be resumed while the answer is kept
+	FateLost                       // unknown to this incarnation
 )
 
-// Query asks for the fate of one attempt.
+// Query asks what became of one attempt.
 type Query struct {
 	ID          contract.AttemptID
-	Incarnation vm.Incarnation // that the attempt was sent to
+	Incarnation vm.Incarnation // to which the attempt was sent
 	Sent        time.Time      // when it was sent, on the sender's wall clock
 	Deadline    time.Time
 }
 
-// Fate tells what became of an attempt. One not handed over is tombstoned in
-// the same step; the tombstone is kept until the attempt's deadline has passed
-// on every clock. An attempt that is not on record never came, unless it may
-// be among the forgotten ones: those had all finished by the time noted, and
-// an attempt finishes after it was sent.
+// Fate reports what became of an attempt, and tombstones it in the same step unless it
+// was handed over. The tombstone is kept until the attempt's deadline has passed on every
+// clock. An attempt without a record never arrived, unless it may be among the forgotten
+// ones: all of those finished no later than the recorded time, and an attempt finishes
+// after it was sent.
 func (t *Table) Fate(q Query, now time.Time) Fate {
 	if q.Incarnation != t.incarnation {
 		return FateLost
@@ -375,15 +374,15 @@
 	until := q.Deadline.Add(2 * t.limits.ClockSkew)
 	a := shard.attempts[q.ID]
 	if a == nil {
-		if !shard.dropped.Before(q.Sent.Add(-t.limits.ClockSkew)) {
+		if !shard.newestForgotten.Before(q.Sent.Add(-t.limits.ClockSkew)) {
 			return FateLost
 		}
-		t.bury(shard, &Attempt{ID: q.ID, Answer: newAnswer()}, until)
+		t.tombstone(shard, &Attempt{ID: q.ID, Answer: newAnswer()}, until)
 		return FateTombstoned
 	}
 	switch a.state {
 	case StateAccepted:
-		t.bury(shard, a, until)
+		t.tombstone(shard, a, until)
 		return FateTombstoned
 	case StateTombstoned:
 		return FateTombstoned
@@ -394,7 +393,7 @@
 	}
 }
 
-// Find returns an attempt that can be resumed.
+// Find returns an attempt that is not tombstoned, so that its answer can be resumed.
 func (t *Table) Find(id contract.AttemptID, incarnation vm.Incarnation) (*Attempt, bool) {
 	if incarnation != t.incarnation {
 		return nil, false
--- a/agent/record/table_test.go
+++ b/agent/record/table_test.go
@@ -61,7 +61,7 @@
 	is.Equal(table.Fate(q, start), FateLost)
 }
 
-// A finished attempt that was forgotten must not pass for one that never came.
+// A finished attempt that was forgotten must not be reported as one that never arrived.
 func TestFateOfAForgottenAttemptIsNotTombstoned(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -80,7 +80,7 @@
 			is.True(table.HandOver(v.Attempt))
 			table.Finish(v.Attempt, start)
 			now := start.Add(c.later)
-			for n := uint32(2); n < 10; n++ { // the same request: the same shard
+			for n := uint32(2); n < 10; n++ { // same request, hence same shard
 				v := table.Accept(attempt("r", n), nil, now)
 				table.HandOver(v.Attempt)
 				table.Finish(v.Attempt, now)
@@ -138,7 +138,7 @@
 	is.Equal(again.Attempt, first.Attempt)
 	table.Finish(first.Attempt, start)
 
-	// The answer may be dropped, but never the memory that it ran.
+	// The answer may be dropped, but not the record that the attempt ran.
 	now := start.Add(20 * time.Second)
 	table.Accept(attempt("r", 2), nil, now)
 	late := table.Accept(attempt("p", 1), ticket("n", self, start), now)
@@ -150,9 +150,9 @@
 	is.True(err == nil || err == ErrEvicted)
 }
 
-// A caller that was told "not-run" may have sent the ticket before, through
-// another entry VM, where it was delayed.
-func TestATicketThatWasDeniedNeverRuns(t *testing.T) {
+// A caller that received "not-run" may have sent the ticket before through another entry
+// VM, where it was delayed.
+func TestTicketRefusedAsNotRunNeverRuns(t *testing.T) {
 	is := is.New(t)
 	table := NewTable("a", self, Limits{})
 	first := table.Accept(attempt("r", 1), ticket("n", self, start), start)
@@ -162,15 +162,15 @@
 	is.Equal(again.Action, ActionRefuse)
 	is.Equal(again.Refusal.Outcome, contract.NotRun)
 
-	// Also if the fate was asked for before the attempt came.
+	// The same holds if the query came before the attempt.
 	is.Equal(table.Fate(query(attempt("s", 1), start), start), FateTombstoned)
 	is.Equal(table.Accept(attempt("s", 1), ticket("m", self, start), start).Action, ActionRefuse)
 	is.Equal(table.Accept(attempt("t", 1), ticket("m", self, start), start).Action, ActionRefuse)
 }
 
-// A ticket that cannot be remembered is not denied: it may run once there is
-// room.
-func TestTooManyTicketsAreRefusedWithoutAPromise(t *testing.T) {
+// A ticket that cannot be remembered is not reported as "not-run": it may run once the
+// number of remembered tickets has fallen.
+func TestTooManyTicketsAreRefusedAsUnknown(t *testing.T) {
 	is := is.New(t)
 	table := NewTable("a", self, Limits{Tickets: 2})
 	is.Equal(table.Accept(attempt("r", 1), ticket("1", self, start), start).Action, ActionRun)
@@ -180,8 +180,8 @@
 	is.Equal(table.Accept(attempt("r", 4), ticket("1", self, start), start).Action, ActionJoin)
 }
 
-// Concurrent presentations of one ticket, and fate queries, run it at most once
-// at a time, and never after the last query said that it had not run.
+// Concurrent presentations of one ticket, together with fate queries, run it at most
+// once, and never after a query reported that it had not run.
 func TestConcurrentPresentationsRunOnce(t *testing.T) {
 	is := is.New(t)
 	for round := range 200 {
