--- a/core/source/pacing.go
+++ b/core/source/pacing.go
@@ -50,7 +50,7 @@
 	burstGap = time.Second
 )
 
-// Duty is a follower's role in following the store.
+// Duty determines whether, and for whom, a follower calls the store.
 type Duty int
 
 // Roles of a follower.
--- a/core/source/pacing_test.go
+++ b/core/source/pacing_test.go
@@ -90,17 +90,17 @@
 				return []Event{{Item: item("a", 5)}}, after, nil
 			},
 		},
-		"a new era each time": {
+		"a new term each time": {
 			list:  func(n int) ([]Item, Position, error) { return nil, Position{uint64(n), 1}, nil },
 			watch: func(n int, _ Position) ([]Event, Position, error) { return nil, Position{uint64(n), 1}, nil },
 		},
-		"an older era": {
+		"an older term": {
 			list: func(n int) ([]Item, Position, error) { return nil, Position{9, 1}, nil },
 			watch: func(int, Position) ([]Event, Position, error) {
 				return []Event{{Item: item("b", 7)}}, Position{8, 7}, nil
 			},
 		},
-		"an era that is missing": {
+		"a missing term": {
 			list:  func(n int) ([]Item, Position, error) { return nil, Position{9, 1}, nil },
 			watch: func(int, Position) ([]Event, Position, error) { return []Event{{Item: item("b", 7)}}, at(7), nil },
 		},
@@ -126,7 +126,7 @@
 					t.Errorf("%d calls in 10 s", n)
 				}
 				if _, older := f.view.listed["b"]; older && seen != 2 {
-					t.Error("an event of an older era was taken")
+					t.Error("an event of an older term was applied")
 				}
 				cancel()
 				synctest.Wait()
