--- a/agent/group/group.go
+++ b/agent/group/group.go
@@ -283,7 +283,7 @@
 	s.recordOrder(w)
 	o, ok := s.decode(w)
 	if !ok {
-		return &wire.SwitchReply{Reason: "changes to an unknown map", BaseUnknown: true, Fence: s.member.Promised()}
+		return &wire.SwitchReply{Reason: "changes to a map that is not known", BaseUnknown: true, Fence: s.member.Promised()}
 	}
 	r := s.member.Handle(ctx, o)
 	if !r.OK {
--- a/agent/group/lead.go
+++ b/agent/group/lead.go
@@ -60,7 +60,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l := s.newLeadership(name, rank, spec)
-	l.record(timeline.KindLead, "coordinate", fmt.Sprintf("no contact with a coordinator; fence %d", l.coord.Fence()))
+	l.record(timeline.KindLead, "coordinate", fmt.Sprintf("no coordinator heard; fence %d", l.coord.Fence()))
 	ticker := time.NewTicker(s.env.Timing.Tick)
 	defer ticker.Stop()
 	stage := l.coord.Stage()
--- a/agent/mapswitch/member.go
+++ b/agent/mapswitch/member.go
@@ -114,7 +114,7 @@
 	case o.Fence < m.promised:
 		return m.refuseSuperseded("a larger fencing number is promised")
 	case state.Epoch != o.Epoch:
-		return m.refuseSuperseded("the group was re-formed since it was read")
+		return m.refuseSuperseded("the group was formed anew since it was read")
 	default:
 		return m.accept(state)
 	}
@@ -137,7 +137,7 @@
 		return reply
 	}
 	if o.Phase != PhaseRead && o.Epoch != state.Epoch {
-		return m.refuseSuperseded("the group was re-formed since it was read")
+		return m.refuseSuperseded("the group was formed anew since it was read")
 	}
 	m.promised = max(m.promised, o.Fence)
 	return m.execute(ctx, o, state)
--- a/core/source/follower.go
+++ b/core/source/follower.go
@@ -330,11 +330,11 @@
 	f.recoveredAt, f.missingGrace = now, recoveryTime
 	for key, k := range f.view.retained {
 		f.Log.Info().Str("prefix", f.Prefix).Str("key", key).Uint64("era", k.Era).Uint64("revision", k.Revision).
-			Msg("retaining an entry from before the store was restored")
+			Msg("entry kept from before the store's return")
 	}
 	f.Log.Warn().Str("prefix", f.Prefix).Uint64("era", f.view.at.Era).Uint64("revision", f.view.at.Revision).
 		Int("items", len(f.view.listed)).Int("kept", len(f.view.retained)).Strs("hidden", firstKeys(f.view.suppressed())).
-		Msg("store was restored from an older copy")
+		Msg("store is back from an older copy")
 }
 
 // releaseSuppressed delivers the state again once suppressed entries are to be shown.
--- a/entry/gateway/notice.go
+++ b/entry/gateway/notice.go
@@ -28,7 +28,7 @@
 		g.inst.backoffRequested(server.ID)
 		g.log.Info().Str("server", server.ID).Uint64("server_incarnation", server.Incarnation()).Str("service", server.Service).
 			Str("asked", via).Int("status", answer.Status).Dur("rest", reported.Rest).Dur("left_out", until.Sub(now)).Bool("rested", before).
-			Msg("backend server requested a backoff")
+			Msg("backend server asks for rest")
 	}
 	return reported
 }
