--- a/core/cluster/activity.go
+++ b/core/cluster/activity.go
@@ -4,44 +4,46 @@
 	"time"
 )
 
-// In a large fleet only some members need to know of each other at once: the
-// gateways that callers are told of, and the agents that may coordinate a group. These
-// are active. Active members exchange heartbeats often, an active one and a standby
-// seldom, two standbys hardly ever. So a standby's cost does not grow with the fleet,
-// and an active member's grows with the active ones: 149 gateways of which 15 are
-// active exchange 5,400 datagrams a second in place of 18,600.
+// In a large fleet only some members must detect failures quickly: the gateways that are
+// offered to callers, and the agents that may coordinate a group. These members are
+// active, all others are standbys. Two active members exchange heartbeats often, an active
+// member and a standby rarely, and two standbys very rarely. So the cost of a standby does
+// not grow with the fleet, and the cost of an active member grows with the number of
+// active members. For example, 149 gateways of which 15 are active exchange 5,400
+// datagrams a second instead of 18,600.
 
 const (
-	// sparsePart divides the interval that all members together would have for an
-	// active member and a standby.
-	sparsePart = 1
-	// standbyFactor is how much longer than that the interval of two standbys is.
-	standbyFactor = 48
-	// missedIntervals is after how many heartbeats in a row that did not come a peer
-	// is lost: datagrams may be lost too.
+	// standbyDivisor divides the interval that would apply if all members were active. The
+	// result is the interval between an active member and a standby.
+	standbyDivisor = 1
+	// standbyPairFactor multiplies that interval for two standbys.
+	standbyPairFactor = 48
+	// missedIntervals is the number of consecutive missing heartbeats after which a peer
+	// is lost. It is above 1 as datagrams may be lost.
 	missedIntervals = 4
-	// repeatInterval and repeatTime tell how often and for how long what a member has
-	// announced is repeated to active ones: one of 95 datagrams may be lost, and a group
-	// of ranks is complete only with all of them.
+	// repeatInterval and repeatTime are how often and for how long an announcement is
+	// repeated to active members. One of 95 datagrams may be lost, and a group of ranks is
+	// complete only when the announcements of all its ranks have arrived.
 	repeatInterval = 200 * time.Millisecond
 	repeatTime     = time.Second
-	// lostTold is for how long a lost peer's address is passed on, mostLost how many
-	// at a time, active ones first: a standby then learns of a loss from whichever active
-	// member it hears first, in place of missing four of its seldom heartbeats.
-	lostTold = 2 * time.Second
-	mostLost = 64
-	// eagerPart divides the expected interval: a heartbeat that follows another one within that
-	// part of it comes early.
-	eagerPart = 4
+	// lossReportLifetime is how long the address of a lost peer is passed on.
+	// maxReportedLost is how many addresses a heartbeat carries, active peers first. So a
+	// standby learns of a loss from the first active member that sends it a heartbeat,
+	// instead of by missing four of its own infrequent heartbeats.
+	lossReportLifetime = 2 * time.Second
+	maxReportedLost    = 64
+	// earlyDivisor divides the expected interval: a heartbeat is early if it follows the
+	// previous one within that fraction of the interval.
+	earlyDivisor = 4
 )
 
-// Activity is what a member says about its part in the work.
+// Activity is a member's role and load as stated in its heartbeats.
 type Activity struct {
-	// Active tells that the member takes part now, in place of standing by.
+	// Active reports that the member is active rather than a standby.
 	Active bool
-	// Millicores is the processor time that the member may use, 0 = not known.
+	// Millicores is the processor time available to the member, or 0 if unknown.
 	Millicores uint32
-	// Arrivals is the number of requests a second at the member.
+	// Arrivals is the number of requests a second that the member receives.
 	Arrivals uint32
 }
 
@@ -50,27 +52,29 @@
 	return max(minInterval, time.Duration(max(0, t.actives-1))*t.perPeer)
 }
 
-// sparse returns the time between two heartbeats of an active member and a standby.
-func (t *Table) sparse() time.Duration {
-	return max(t.Interval(), time.Duration(len(t.alive))*t.perPeer/sparsePart)
+// standbyInterval returns the time between two heartbeats of an active member and a
+// standby.
+func (t *Table) standbyInterval() time.Duration {
+	return max(t.Interval(), time.Duration(len(t.alive))*t.perPeer/standbyDivisor)
 }
 
-// expected returns the time between two heartbeats from or to a live peer.
-func (t *Table) expected(p *Peer) time.Duration {
+// expectedInterval returns the time between two heartbeats from or to a live peer.
+func (t *Table) expectedInterval(p *Peer) time.Duration {
 	standbys := !t.own.Active && !p.Active
 	switch {
-	case t.attendance.on:
-		return t.attended(p)
+	case t.monitoring.enabled:
+		return t.monitoredInterval(p)
 	case standbys || t.unrelated(p):
-		return standbyFactor * t.sparse()
+		return standbyPairFactor * t.standbyInterval()
 	case t.own.Active && p.Active:
 		return t.Interval()
 	default:
-		return t.sparse()
+		return t.standbyInterval()
 	}
 }
 
-// unrelated reports whether both are agents of ranks, but of different groups.
+// unrelated reports whether this member and the peer are agents of ranks in different
+// groups.
 func (t *Table) unrelated(p *Peer) bool {
 	return t.own.Rank != nil && p.Rank != nil && t.own.Rank.Group != p.Rank.Group
 }
@@ -79,25 +83,25 @@
 	switch {
 	case !t.alive[p.Address]:
 		return t.silentInterval()
-	case t.untold(p):
+	case t.needsLossReport(p):
 		return 0
-	case p.eager:
-		return min(t.expected(p), standbyAttention)
+	case p.sendsEarly:
+		return min(t.expectedInterval(p), standbyMonitorInterval)
 	}
-	if p.Active && now.Sub(t.told) < repeatTime {
-		return min(t.expected(p), repeatInterval)
+	if p.Active && now.Sub(t.announcedAt) < repeatTime {
+		return min(t.expectedInterval(p), repeatInterval)
 	}
-	if t.own.Active != p.Active && t.paces.direct() && (!t.attendance.on || p.isNear()) {
-		return t.Interval() // what agents told only this member must not wait
+	if t.own.Active != p.Active && t.slowdowns.direct() && (!t.monitoring.enabled || p.isMonitorPair()) {
+		return t.Interval() // slowdowns that agents reported only to this member must not wait
 	}
-	return t.expected(p)
+	return t.expectedInterval(p)
 }
 
-// silentInterval returns the time between two heartbeats to a silent peer: after the loss of
-// half of a large fleet there are many.
+// silentInterval returns the time between two heartbeats to a silent peer. It grows with
+// their number, which is large after the loss of half of a large fleet.
 func (t *Table) silentInterval() time.Duration {
 	silent := len(t.peers) - len(t.alive)
-	return max(silentInterval, time.Duration(silent)*time.Second/pingsPerSecond)
+	return max(silentInterval, time.Duration(silent)*time.Second/silentHeartbeatsPerSecond)
 }
 
 func (t *Table) countActives() {
@@ -112,8 +116,10 @@
 	}
 }
 
-// Reached returns the part of the active members that this one reaches, itself included, of
-// all that may be active: those that fell silent without a word may be cut off and go on.
+// Reached returns the number of active members that this member reaches, itself
+// included, as a fraction of all members that may be active. Members that fell silent
+// without announcing that they leave count as possibly active: they may be cut off and
+// still running.
 func (t *Table) Reached() float64 {
 	silent := 0
 	for address, p := range t.peers {
@@ -125,12 +131,12 @@
 	return float64(reached) / float64(reached+silent)
 }
 
-// toldLost returns the addresses of peers that this member lost lately.
-func (t *Table) toldLost(now time.Time) []string {
+// reportedLost returns the addresses of recently lost peers to report in a heartbeat.
+func (t *Table) reportedLost(now time.Time) []string {
 	var actives, standbys []string
 	for address, at := range t.lost {
 		switch p := t.peers[address]; {
-		case now.Sub(at) > lostTold:
+		case now.Sub(at) > lossReportLifetime:
 			delete(t.lost, address)
 		case p != nil && p.Active:
 			actives = append(actives, address)
@@ -139,27 +145,27 @@
 		}
 	}
 	out := append(actives, standbys...)
-	return out[:min(len(out), mostLost)]
+	return out[:min(len(out), maxReportedLost)]
 }
 
-// hearLost takes it from another member that peers are lost, unless this one has heard
-// them within the usual time. It is passed on only in a fleet whose members attend to each
-// other: elsewhere all active ones notice it themselves.
-func (t *Table) hearLost(from string, addresses []string, now time.Time) []Change {
+// receiveLost processes the losses that another member reports. A peer from which this
+// member has received a recent heartbeat is not marked lost. An accepted loss is passed on
+// only if monitoring is enabled: otherwise all active members detect it themselves.
+func (t *Table) receiveLost(from string, addresses []string, now time.Time) []Change {
 	var out []Change
-	t.attendance.forgetReports(now)
+	t.monitoring.expireReports(now)
 	for _, address := range addresses {
 		p := t.peers[address]
-		if p == nil || !t.alive[address] || now.Sub(p.Heard) < silence/2 {
+		if p == nil || !t.alive[address] || now.Sub(p.Heard) < silenceTimeout/2 {
 			continue
 		}
-		confirmed := t.attendance.on && t.confirms(from, address, now)
-		if !confirmed && now.Sub(p.quietSince()) < t.missed(p) {
+		confirmed := t.monitoring.enabled && t.confirmLoss(from, address, now)
+		if !confirmed && now.Sub(p.silentSince()) < t.missedAfter(p) {
 			continue
 		}
-		out = append(out, t.lose(p))
-		if t.attendance.on {
-			t.noteLoss(p, now)
+		out = append(out, t.markLost(p))
+		if t.monitoring.enabled {
+			t.recordLoss(p, now)
 		}
 	}
 	return out
--- a/core/cluster/activity_test.go
+++ b/core/cluster/activity_test.go
@@ -11,7 +11,8 @@
 	"baywall.example/core/source"
 )
 
-// largeFleet is a fleet with some active members that has met.
+// largeFleet returns a fleet in which all members know each other and the first ones are
+// active.
 func largeFleet(active, standby int) *fleet {
 	var addresses []string
 	for i := range active + standby {
@@ -27,7 +28,7 @@
 	return f
 }
 
-// sent counts the datagrams of a member in a time.
+// sent runs the fleet for a time and returns the number of datagrams that a member sends.
 func (f *fleet) sent(address string, d time.Duration) int {
 	n := 0
 	table := f.tables[address]
@@ -43,14 +44,14 @@
 	return n
 }
 
-// A fleet in which everyone hears everyone would cost each of 100 members 125
-// datagrams a second.
-func TestAStandbysCostDoesNotGrowWithTheFleet(t *testing.T) {
+// If all members exchanged heartbeats at the interval of active ones, each of 100 members
+// would send 125 datagrams a second.
+func TestStandbyCostDoesNotGrowWithFleet(t *testing.T) {
 	is := is.New(t)
 	const active, standby = 10, 90
 	f := largeFleet(active, standby)
 	for _, table := range f.tables {
-		is.Equal(table.Members(), active) // every member knows all active ones
+		is.Equal(table.Members(), active) // every member knows all active members
 		if table.own.Active {
 			is.Equal(len(table.Live()), active+standby-1)
 		}
@@ -65,8 +66,9 @@
 	is.True(fromActive <= 340)
 }
 
-// Callers ask standbys too where to connect.
-func TestStandbysLearnOfALostActiveMemberWithinTwoSeconds(t *testing.T) {
+// Callers ask standbys too where to connect, so a standby must not list a lost gateway for
+// long.
+func TestStandbysLearnOfLostActiveMemberWithinTwoSeconds(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(6, 40)
 	const gone = "10.0.0.1:1"
@@ -89,21 +91,22 @@
 	}
 }
 
-// What one member has heard itself counts for more than what others say.
-func TestHearsayLosesNobodyWhoIsHeard(t *testing.T) {
+// A member's own recent heartbeat from a peer outweighs a loss that another member
+// reports.
+func TestReportedLossOfRecentlyHeardPeerIsIgnored(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(6, 0)
-	f.tables["10.0.0.0:1"].hearLost("10.0.0.2:1", []string{"10.0.0.1:1"}, f.now)
+	f.tables["10.0.0.0:1"].receiveLost("10.0.0.2:1", []string{"10.0.0.1:1"}, f.now)
 	is.Equal(len(f.tables["10.0.0.0:1"].Live()), 5)
 }
 
-// Agents of ranks need to know only those that may coordinate their own group.
-func TestAgentsOfOtherGroupsAreHeardSeldom(t *testing.T) {
+// Agents of ranks need to know only the members that may coordinate their own group.
+func TestAgentsOfOtherGroupsExchangeHeartbeatsRarely(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(8, 40)
 	i := 0
 	for a, self := range f.selves {
-		f.tables[a].attendance = attendance{} // agents of ranks do not attend to each other
+		f.tables[a].monitoring = monitoring{} // agents of ranks have no monitors
 		self.Rank = &RankLabel{Group: fmt.Sprintf("g%d", i%2), Rank: i}
 		f.selves[a] = self
 		i++
@@ -112,13 +115,14 @@
 	table := f.tables["10.0.0.0:1"]
 	for _, p := range table.Live() {
 		if table.unrelated(&p) {
-			is.Equal(table.expected(&p), standbyFactor*table.sparse())
+			is.Equal(table.expectedInterval(&p), standbyPairFactor*table.standbyInterval())
 		}
 	}
 }
 
-// The counts are most of a heartbeat, and a standby sends few requests.
-func TestOnlyActiveMembersHearOfRequestsInFlight(t *testing.T) {
+// The counts are most of a heartbeat, and a standby sends few requests, so it does not
+// need them.
+func TestOnlyActiveMembersReceiveRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(2, 2)
 	busy := f.selves["10.0.0.0:1"]
@@ -129,7 +133,7 @@
 	is.Equal(f.tables["10.0.0.2:1"].Load(7, f.now).Requests, 0)
 }
 
-func TestSizeOfAHeartbeat(t *testing.T) {
+func TestHeartbeatSize(t *testing.T) {
 	is := is.New(t)
 	self := Self{
 		VM: "edge-availability-zone-12", Incarnation: 1 << 50, Zone: "availability-zone", Address: "10.100.100.100:7341",
@@ -146,7 +150,7 @@
 	is.True(proto.Size(hb) < full/4)
 }
 
-func TestWhatAMemberFoundIsKnownToOthersForAWhile(t *testing.T) {
+func TestFoundServersReachOthersAndExpire(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(2, 1)
 	finder := f.selves["10.0.0.0:1"]
@@ -162,9 +166,9 @@
 	is.True(!other.Load(7, f.now).Found)
 }
 
-// A member that fell silent without a word may be cut off and go on; one that said that it
-// leaves does not.
-func TestWhichPartOfTheMembersIsReached(t *testing.T) {
+// A member that fell silent without announcing it may be cut off and still running, so it
+// counts as unreachable. A member that announced that it leaves does not.
+func TestReachableFraction(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(4, 2)
 	table := f.tables["10.0.0.0:1"]
--- a/core/cluster/attend.go
+++ b/core/cluster/attend.go
@@ -6,70 +6,76 @@
 	"baywall.example/core/rendezvous"
 )
 
-// In a fleet whose members attend to each other, each member exchanges heartbeats with a few
-// active ones at an interval that does not grow with the fleet: its attendants, which every
-// member works out alike from the live active members. They notice its loss, and tell the
-// others at once; from them a standby hears within a fraction of a second what is new. With
-// all other members it exchanges heartbeats so seldom that its cost does not grow either.
+// With monitoring enabled, each member exchanges heartbeats with a few active members, its
+// monitors, at an interval that does not grow with the fleet. Every member computes the
+// same assignment of monitors from the live active members. Monitors detect the loss of a
+// member and report it to the others at once. A standby receives updates from its monitors
+// within a fraction of a second. With all other members it exchanges heartbeats so rarely
+// that their cost does not grow with the fleet either.
 //
-// A loss that one member tells may be its own: it is cut off. So members believe it that have
-// missed a heartbeat themselves, or were told by two.
+// A member that reports a loss may itself be cut off. So a receiver accepts the report
+// only if it has missed a heartbeat from the lost member too, or if two members report the
+// loss.
 
 const (
-	// standbyAttendants and activeAttendants are how many active members attend to a
-	// standby and to an active member, ownZonePart of which are in its availability zone
-	// as far as there are any.
-	standbyAttendants, activeAttendants = 3, 5
-	ownZonePart                         = 0.6
-	// standbyAttention and activeAttention are the time between two heartbeats of a standby
-	// and of an active member to an attendant.
-	standbyAttention = 400 * time.Millisecond
-	activeAttention  = 200 * time.Millisecond
-	// seldomFactor is how much longer the interval of an active member and a standby is that
-	// do not attend to each other.
-	seldomFactor = 4
-	// attendPause is the least time between two looks who attends to whom.
-	attendPause = 200 * time.Millisecond
-	// lossPause is the least time between two times at which losses are told at once.
-	lossPause = 100 * time.Millisecond
-	// pingsPerSecond bounds the heartbeats to silent peers.
-	pingsPerSecond = 100
+	// standbyMonitors and activeMonitors are the numbers of active members that monitor a
+	// standby and an active member. The fraction ownZoneShare of them is chosen from its
+	// availability zone, as far as there are enough.
+	standbyMonitors, activeMonitors = 3, 5
+	ownZoneShare                    = 0.6
+	// standbyMonitorInterval and activeMonitorInterval are the times between two
+	// heartbeats of a standby and of an active member to one of its monitors.
+	standbyMonitorInterval = 400 * time.Millisecond
+	activeMonitorInterval  = 200 * time.Millisecond
+	// unmonitoredFactor multiplies the heartbeat interval between an active member and a
+	// standby that do not monitor each other.
+	unmonitoredFactor = 4
+	// assignInterval is the minimum time between two computations of the monitor
+	// assignment.
+	assignInterval = 200 * time.Millisecond
+	// lossReportInterval is the minimum time between two immediate loss reports.
+	lossReportInterval = 100 * time.Millisecond
+	// silentHeartbeatsPerSecond limits the heartbeats to silent peers.
+	silentHeartbeatsPerSecond = 100
 )
 
-// attendance is the state of that; who attends to whom is noted in each Peer.
-type attendance struct {
-	on      bool
-	stale   bool              // members have changed since it was worked out
-	at      time.Time         // when it was
-	losses  bool              // active members were lost that nobody was told of yet
-	tellAt  time.Time         // since when losses are told to those not told since
-	reports map[string]report // of losses that one member told, by address
+// monitoring is the state of failure detection by monitors. The assignment itself is
+// stored in each Peer.
+type monitoring struct {
+	enabled          bool
+	stale            bool                  // whether members have changed since the last assignment
+	assignedAt       time.Time             // time of the last assignment
+	unreportedLosses bool                  // whether active members were lost and not reported yet
+	reportLossesAt   time.Time             // losses are due to be reported to peers that were sent no heartbeat since
+	reports          map[string]lossReport // losses reported by one member, by address
 }
 
-// report is a loss that another member told.
-type report struct {
-	teller string
-	at     time.Time
+// lossReport is a loss that another member reported.
+type lossReport struct {
+	reporter string
+	at       time.Time
 }
 
-// Attend lets the member attend to others and be attended. It is to be called before all else.
+// Attend enables monitoring: the member monitors others and is monitored itself. It must
+// be called before all other methods.
 func (t *Table) Attend() {
-	t.attendance = attendance{on: true, reports: make(map[string]report)}
+	t.monitoring = monitoring{enabled: true, reports: make(map[string]lossReport)}
 }
 
-// candidate is an active member that may attend to others, or a member to attend to.
+// candidate is an active member that may become a monitor, or a member to monitor.
 type candidate struct {
 	address, zone string
 	hash          uint64
 }
 
-// attend works out who attends to whom, if members have changed.
-func (t *Table) attend(now time.Time) {
-	a := &t.attendance
-	if !a.on || !a.stale || now.Sub(a.at) < attendPause {
+// assignMonitors recomputes which members monitor each other if the membership has
+// changed.
+func (t *Table) assignMonitors(now time.Time) {
+	m := &t.monitoring
+	if !m.enabled || !m.stale || now.Sub(m.assignedAt) < assignInterval {
 		return
 	}
-	a.stale, a.at = false, now
+	m.stale, m.assignedAt = false, now
 	own := candidate{t.self, t.own.Zone, rendezvous.Hash(t.self)}
 	var actives []candidate
 	if t.own.Active {
@@ -82,31 +88,32 @@
 	}
 	for address := range t.alive {
 		p := t.peers[address]
-		attendsMe := p.Active && attends(p.candidate(), own, t.own.Active, actives)
-		attended := t.own.Active && attends(own, p.candidate(), p.Active, actives)
-		switch near := attendsMe || attended; {
-		case !near:
-			p.near = time.Time{}
-		case p.near.IsZero():
-			p.near = now
+		monitorsSelf := p.Active && isMonitor(p.candidate(), own, t.own.Active, actives)
+		monitored := t.own.Active && isMonitor(own, p.candidate(), p.Active, actives)
+		switch paired := monitorsSelf || monitored; {
+		case !paired:
+			p.paired = time.Time{}
+		case p.paired.IsZero():
+			p.paired = now
 		}
 	}
 }
 
 func (p *Peer) candidate() candidate { return candidate{p.Address, p.Zone, p.hash} }
 
-// attends reports whether an active member is one of the attendants of another member: one of
-// the first in rendezvous order in the member's availability zone, or in the others.
-func attends(one, member candidate, isActive bool, actives []candidate) bool {
-	if one.address == member.address {
+// isMonitor reports whether an active member is one of the monitors of another member.
+// These are the first in rendezvous order among the active members of the other member's
+// availability zone, and the first among those of the other zones.
+func isMonitor(monitor, member candidate, isActive bool, actives []candidate) bool {
+	if monitor.address == member.address {
 		return false
 	}
-	most := standbyAttendants
+	most := standbyMonitors
 	if isActive {
-		most = activeAttendants
+		most = activeMonitors
 	}
-	inZone, before := 0, 0
-	weight := rendezvous.Weight(one.hash, member.hash)
+	inZone, ahead := 0, 0
+	weight := rendezvous.Weight(monitor.hash, member.hash)
 	for _, other := range actives {
 		if other.address == member.address {
 			continue
@@ -114,88 +121,92 @@
 		if other.zone == member.zone {
 			inZone++
 		}
-		if (other.zone == member.zone) == (one.zone == member.zone) && rendezvous.Weight(other.hash, member.hash) > weight {
-			before++
+		if (other.zone == member.zone) == (monitor.zone == member.zone) && rendezvous.Weight(other.hash, member.hash) > weight {
+			ahead++
 		}
 	}
-	ofZone := min(inZone, int(ownZonePart*float64(most)+0.5))
-	if one.zone == member.zone {
-		return before < ofZone
+	ofZone := min(inZone, int(ownZoneShare*float64(most)+0.5))
+	if monitor.zone == member.zone {
+		return ahead < ofZone
 	}
-	return before < most-ofZone
+	return ahead < most-ofZone
 }
 
-// isNear reports whether a peer attends to this member or is attended by it.
-func (p *Peer) isNear() bool { return !p.near.IsZero() }
+// isMonitorPair reports whether a peer monitors this member or is monitored by it.
+func (p *Peer) isMonitorPair() bool { return !p.paired.IsZero() }
 
-// attended returns the time between two heartbeats to and from a live peer.
-func (t *Table) attended(p *Peer) time.Duration {
-	near := p.isNear()
-	switch sparse := t.sparse(); {
-	case t.own.Active && p.Active && near:
-		return min(t.Interval(), activeAttention)
+// monitoredInterval returns the expected time between two heartbeats to and from a live
+// peer if monitoring is enabled.
+func (t *Table) monitoredInterval(p *Peer) time.Duration {
+	paired := p.isMonitorPair()
+	switch standbyInterval := t.standbyInterval(); {
+	case t.own.Active && p.Active && paired:
+		return min(t.Interval(), activeMonitorInterval)
 	case t.own.Active && p.Active:
 		return t.Interval()
 	case !t.own.Active && !p.Active:
-		return standbyFactor * sparse
-	case near || sparse <= standbyAttention:
-		return min(sparse, standbyAttention)
+		return standbyPairFactor * standbyInterval
+	case paired || standbyInterval <= standbyMonitorInterval:
+		return min(standbyInterval, standbyMonitorInterval)
 	default:
-		return seldomFactor * sparse
+		return unmonitoredFactor * standbyInterval
 	}
 }
 
-// quietSince returns since when a peer has been silent at its present interval.
-func (p *Peer) quietSince() time.Time {
-	if p.near.After(p.Heard) {
-		return p.near
+// silentSince returns the time since which a peer has been silent at its current interval.
+func (p *Peer) silentSince() time.Time {
+	if p.paired.After(p.Heard) {
+		return p.paired
 	}
 	return p.Heard
 }
 
-// noteLoss notes that an active member was lost, or that two others say so.
-func (t *Table) noteLoss(p *Peer, now time.Time) {
+// recordLoss records the loss of a peer that was detected here or accepted from reports.
+// If both this member and the peer are active, the loss is reported at once.
+func (t *Table) recordLoss(p *Peer, now time.Time) {
 	t.lost[p.Address] = now
 	if p.Active && t.own.Active {
-		t.attendance.losses = true
+		t.monitoring.unreportedLosses = true
 	}
 }
 
-// tellLosses lets losses be told at once.
-func (t *Table) tellLosses(now time.Time) {
-	if a := &t.attendance; a.on && a.losses && now.Sub(a.tellAt) >= lossPause {
-		a.losses, a.tellAt = false, now
+// scheduleLossReport makes heartbeats with the recorded losses due at once.
+func (t *Table) scheduleLossReport(now time.Time) {
+	if m := &t.monitoring; m.enabled && m.unreportedLosses && now.Sub(m.reportLossesAt) >= lossReportInterval {
+		m.unreportedLosses, m.reportLossesAt = false, now
 	}
 }
 
-// untold reports whether a peer has to be told of losses now.
-func (t *Table) untold(p *Peer) bool {
-	return (p.Active || p.isNear()) && p.sent.Before(t.attendance.tellAt)
+// needsLossReport reports whether a heartbeat with the recorded losses is due to a peer.
+func (t *Table) needsLossReport(p *Peer) bool {
+	return (p.Active || p.isMonitorPair()) && p.sent.Before(t.monitoring.reportLossesAt)
 }
 
-// missed returns after which silence a peer has missed a heartbeat for certain.
-func (t *Table) missed(p *Peer) time.Duration {
-	if !t.attendance.on {
-		return t.expected(p)
+// missedAfter returns the length of silence after which a peer has certainly missed a
+// heartbeat.
+func (t *Table) missedAfter(p *Peer) time.Duration {
+	if !t.monitoring.enabled {
+		return t.expectedInterval(p)
 	}
-	return t.expected(p) * 3 / 2
+	return t.expectedInterval(p) * 3 / 2
 }
 
-// confirms notes that a member tells a loss, and reports whether another one did so lately.
-func (t *Table) confirms(teller, address string, now time.Time) bool {
-	r, known := t.attendance.reports[address]
-	if known && r.teller != teller && now.Sub(r.at) <= lostTold {
+// confirmLoss records that a member reports a loss, and reports whether another member has
+// reported it recently.
+func (t *Table) confirmLoss(reporter, address string, now time.Time) bool {
+	r, known := t.monitoring.reports[address]
+	if known && r.reporter != reporter && now.Sub(r.at) <= lossReportLifetime {
 		return true
 	}
-	t.attendance.reports[address] = report{teller, now}
+	t.monitoring.reports[address] = lossReport{reporter, now}
 	return false
 }
 
-// forgetReports drops what was told long ago.
-func (a *attendance) forgetReports(now time.Time) {
-	for address, r := range a.reports {
-		if now.Sub(r.at) > lostTold {
-			delete(a.reports, address)
+// expireReports removes old reports.
+func (m *monitoring) expireReports(now time.Time) {
+	for address, r := range m.reports {
+		if now.Sub(r.at) > lossReportLifetime {
+			delete(m.reports, address)
 		}
 	}
 }
--- a/core/cluster/heartbeat.go
+++ b/core/cluster/heartbeat.go
@@ -15,10 +15,10 @@
 		Address: self.Address, Front: self.Front, Ready: self.Ready,
 		CatalogVersion: self.CatalogVersion, Retained: self.Retained, StoreFailing: self.StoreFailing,
 		BackendsEra: self.StoreChanged.Era, BackendsRevision: self.StoreChanged.Revision,
-		Rank: self.Rank.wire(), Paces: t.paces.told(now), Lost: t.toldLost(now),
-		Found: self.Found[:min(len(self.Found), mostFound)], Active: self.Active, Millicores: self.Millicores, Arrivals: self.Arrivals,
+		Rank: self.Rank.wire(), Paces: t.slowdowns.report(now), Lost: t.reportedLost(now),
+		Found: self.Found[:min(len(self.Found), maxFound)], Active: self.Active, Millicores: self.Millicores, Arrivals: self.Arrivals,
 	}
-	if t.sequence%contactsEvery == 0 || now.Sub(t.met) < meetingTime {
+	if t.sequence%contactsEvery == 0 || now.Sub(t.joined) < discoveryTime {
 		hb.Contacts = t.contacts(rnd)
 	}
 	if self.Suspects != nil {
@@ -27,8 +27,8 @@
 	if self.Limits != nil {
 		hb.Limits = self.Limits(now)
 	}
-	if heard := t.storeHeard(self.StoreHeard); !heard.IsZero() {
-		hb.StoreAgeMs = 1 + uint32(math.Ceil(now.Sub(heard).Seconds()*1000)) // never too young: it is passed on
+	if answered := t.lastStoreAnswer(self.StoreHeard); !answered.IsZero() {
+		hb.StoreAgeMs = 1 + uint32(math.Ceil(now.Sub(answered).Seconds()*1000)) // rounded up: a relayed age must never be too low
 	}
 	for server, l := range self.Load {
 		if l.Requests > 0 {
--- a/core/cluster/node.go
+++ b/core/cluster/node.go
@@ -18,14 +18,15 @@
 )
 
 const (
-	// tick is how often due heartbeats are looked for, standbyTick the same at a
-	// standby that has met nobody new lately: each look costs a wake-up of the process.
+	// tick is the interval at which a member looks for due heartbeats. standbyTick is the
+	// interval at a standby that has not discovered a new member lately: each tick wakes
+	// up the process.
 	tick        = 20 * time.Millisecond
 	standbyTick = 100 * time.Millisecond
-	// maxDatagram is the largest heartbeat, in bytes: what UDP carries.
+	// maxDatagram is the largest heartbeat in bytes, the limit of UDP.
 	maxDatagram = 64 << 10
-	// receivePause is the pause after a receive that failed.
-	receivePause = 50 * time.Millisecond
+	// receiveRetryDelay is the delay after a failed receive.
+	receiveRetryDelay = 50 * time.Millisecond
 )
 
 // ErrListen means that the heartbeat socket could not be opened.
@@ -36,14 +37,15 @@
 	conn *net.UDPConn
 	self func() Self
 	log  zerolog.Logger
-	// onHold is called with requests to give an order to a rank, nil = they are ignored.
+	// onHold is called with requests to pass an order to a rank. If it is nil, they are
+	// ignored.
 	onHold func(Hold)
-	// onSuspects is called with what members tell of suspects, onMet with members that
-	// were met or regained; nil = they are ignored.
+	// onSuspects is called with the suspects that a member reports. onMet is called with
+	// each member that joined or was regained. If nil, these events are ignored.
 	onSuspects func(from vm.ID, suspects []*wire.Suspect)
 	onMet      func(Peer)
-	// onLimits is called with what members tell of the limits that backend servers name, nil =
-	// they are ignored.
+	// onLimits is called with the limits of backend servers that a member reports. If it
+	// is nil, they are ignored.
 	onLimits func(from vm.ID, limits []*wire.ServerLimit)
 
 	stall stall
@@ -52,8 +54,8 @@
 	rnd   *rand.Rand
 }
 
-// NewNode opens the socket at the address, an IP:port. What the node says about
-// itself is asked for each time. See NewTable for perPeer.
+// NewNode opens the socket at the address, an IP:port. It calls self for the node's own
+// state before each heartbeat. See NewTable for perPeer.
 func NewNode(address string, seeds []string, perPeer time.Duration, self func() Self, log zerolog.Logger) (*Node, error) {
 	udp, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -67,25 +69,25 @@
 	return &Node{conn: conn, self: self, log: log, table: NewTable(address, seeds, perPeer), rnd: rnd}, nil
 }
 
-// Run sends and receives until the context ends.
+// Run sends and receives heartbeats until the context ends.
 func (n *Node) Run(ctx context.Context) {
-	stop := context.AfterFunc(ctx, func() { _ = n.conn.Close() }) // ends receive
+	stop := context.AfterFunc(ctx, func() { _ = n.conn.Close() }) // unblocks receive
 	defer stop()
 	go n.receive(ctx)
 	for pause := tick; wait.Sleep(ctx, pause); {
-		pause = n.beat(clock.Now())
+		pause = n.sendDue(clock.Now())
 	}
 }
 
-// beat sends what is due, and returns the pause until the next look.
-func (n *Node) beat(now time.Time) time.Duration {
-	n.stall.look(now)
+// sendDue sends the heartbeats that are due and returns the delay until the next call.
+func (n *Node) sendDue(now time.Time) time.Duration {
+	n.stall.recordTick(now)
 	self := n.self()
 	n.mu.Lock()
 	out, changes := n.table.Tick(self, n.rnd, now)
 	settled := n.table.settled(now)
 	n.mu.Unlock()
-	n.note(changes)
+	n.handleChanges(changes)
 	n.send(out)
 	if settled && !self.Active {
 		return standbyTick
@@ -93,7 +95,8 @@
 	return tick
 }
 
-// Announce tells every peer at once, as when this gateway begins to leave.
+// Announce sends a heartbeat to every peer at once, for instance when this gateway begins
+// to leave.
 func (n *Node) Announce() {
 	self := n.self()
 	n.mu.Lock()
@@ -109,17 +112,18 @@
 		if d.Heartbeat != of {
 			raw, err := proto.Marshal(d.Heartbeat)
 			if err != nil {
-				n.log.Error().Err(err).Msg("heartbeat not encoded")
+				n.log.Error().Err(err).Msg("cannot encode heartbeat")
 				return
 			}
 			encoded, of = raw, d.Heartbeat
 		}
 		to, err := net.ResolveUDPAddr("udp4", d.Address)
 		if err != nil {
-			n.log.Warn().Err(err).Str("peer", d.Address).Msg("heartbeat not sent")
+			n.log.Warn().Err(err).Str("peer", d.Address).Msg("cannot send heartbeat: invalid peer address")
 			continue
 		}
-		// A datagram that cannot be sent is as good as lost: the next follows.
+		// A send error is treated like a lost datagram: the next heartbeat makes up for
+		// it.
 		_, _ = n.conn.WriteToUDP(encoded, to)
 	}
 }
@@ -132,34 +136,34 @@
 			return
 		}
 		if err != nil {
-			n.log.Warn().Err(err).Msg("heartbeat socket failed")
-			time.Sleep(receivePause)
+			n.log.Warn().Err(err).Msg("cannot receive heartbeats")
+			time.Sleep(receiveRetryDelay)
 			continue
 		}
 		var hb wire.Heartbeat
 		if err := proto.Unmarshal(buf[:size], &hb); err != nil {
-			n.log.Warn().Err(err).Int("bytes", size).Msg("heartbeat not understood")
+			n.log.Warn().Err(err).Int("bytes", size).Msg("malformed heartbeat ignored")
 			continue
 		}
-		n.hearHold(hb.GetHold())
+		n.receiveHold(hb.GetHold())
 		if len(hb.GetSuspects()) > 0 && n.onSuspects != nil {
 			n.onSuspects(vm.ID(hb.GetVm()), hb.GetSuspects())
 		}
-		if len(hb.GetLimits()) > 0 && n.onLimits != nil && !n.stall.waited(clock.Now()) {
+		if len(hb.GetLimits()) > 0 && n.onLimits != nil && !n.stall.mayHaveWaited(clock.Now()) {
 			n.onLimits(vm.ID(hb.GetVm()), hb.GetLimits())
 		}
 		n.mu.Lock()
 		changes := n.table.Receive(&hb, clock.Now())
 		n.mu.Unlock()
-		n.note(changes)
+		n.handleChanges(changes)
 	}
 }
 
-func (n *Node) note(changes []Change) {
+func (n *Node) handleChanges(changes []Change) {
 	for _, c := range changes {
 		event := n.log.Info().Str("peer", string(c.Peer.VM)).Uint64("incarnation", uint64(c.Peer.Incarnation))
 		if c.Alive {
-			event.Bool("new", c.Met).Msg("peer regained")
+			event.Bool("new", c.Joined).Msg("peer regained")
 			if n.onMet != nil {
 				n.onMet(c.Peer)
 			}
@@ -169,24 +173,23 @@
 	}
 }
 
-// Attend lets the member attend to others and be attended: see Table. It is to be called
-// before Run.
+// Attend enables monitoring, see Table.Attend. It must be called before Run.
 func (n *Node) Attend() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.table.Attend()
 }
 
-// OnSuspects sets what is called with what a member tells of suspects. It is to be set
-// before Run.
+// OnSuspects sets the function that is called with the suspects that a member reports. It
+// must be called before Run.
 func (n *Node) OnSuspects(f func(from vm.ID, suspects []*wire.Suspect)) { n.onSuspects = f }
 
-// OnLimits sets what is called with what a member tells of the limits that backend servers
-// name. It is to be set before Run.
+// OnLimits sets the function that is called with the limits of backend servers that a
+// member reports. It must be called before Run.
 func (n *Node) OnLimits(f func(from vm.ID, limits []*wire.ServerLimit)) { n.onLimits = f }
 
-// OnMet sets what is called with each member that was met or regained; it must not block.
-// It is to be set before Run.
+// OnMet sets the function that is called with each member that joined or was regained. The
+// function must not block. OnMet must be called before Run.
 func (n *Node) OnMet(f func(Peer)) { n.onMet = f }
 
 // SetSeeds replaces the seeds.
@@ -196,22 +199,22 @@
 	n.table.SetSeeds(seeds)
 }
 
-// Expect replaces the addresses from which links are accepted though nobody was heard
-// there yet.
+// Expect replaces the addresses from which links are accepted although no heartbeat has
+// been received from there yet.
 func (n *Node) Expect(addresses []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.table.Expect(addresses)
 }
 
-// Live returns the peers that were heard lately.
+// Live returns the peers that are not silent.
 func (n *Node) Live() []Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.table.Live()
 }
 
-// Load fills out with what peers put on each of the backend servers, in the same
+// Load fills out with the load that peers put on each of the backend servers, in the same
 // order.
 func (n *Node) Load(servers []uint32, out []Load) {
 	n.mu.Lock()
@@ -222,11 +225,11 @@
 	}
 }
 
-// ErrUnknown means that a VM which asks for a link is not a member at its address.
+// ErrUnknown means that a VM requested a link without being a member at its address.
 var ErrUnknown = eris.New("cluster: not a member")
 
-// Authorize accepts links from members, from their own address, and from the
-// addresses at which members are expected. It is a link.Authorizer.
+// Authorize accepts links from members at their own address and from the addresses where
+// members are expected. It is a link.Authorizer.
 func (n *Node) Authorize(h *wire.Hello, remote net.Addr) error {
 	host, _, err := net.SplitHostPort(remote.String())
 	if err != nil {
@@ -234,14 +237,14 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.table.knows(vm.ID(h.GetVm()), host) {
+	if !n.table.mayBeMember(vm.ID(h.GetVm()), host) {
 		return eris.Wrapf(ErrUnknown, "%s at %s", h.GetVm(), host)
 	}
 	return nil
 }
 
-// Reached returns the part of the active members that this one reaches, itself included, of
-// all that may be active.
+// Reached returns the fraction of the possibly active members that this member reaches,
+// itself included.
 func (n *Node) Reached() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -255,7 +258,7 @@
 	return n.table.Members()
 }
 
-// Staleness returns how old what peers said may be.
+// Staleness returns the maximum age of the state received from active peers.
 func (n *Node) Staleness() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/core/cluster/pace.go
+++ b/core/cluster/pace.go
@@ -9,58 +9,60 @@
 	"baywall.example/core/wire"
 )
 
-// A rank that has become slow makes all ranks of its group wait in each step. Its
-// agent sees that first, and tells it to gateways for as long as it lasts; a gateway
-// passes on to the others what it heard from agents.
+// A slow rank makes all ranks of its group wait in each step. Its agent detects the
+// slowdown first and reports it to gateways for as long as it lasts. A gateway passes
+// reports that come directly from agents on to the other gateways.
 
-// paceLifetime is how long a pace counts after an agent said so: a few of its
-// reports, as datagrams may be lost.
-const paceLifetime = 500 * time.Millisecond
+// slowdownLifetime is how long a slowdown counts after an agent reported it. It covers
+// several reports, as datagrams may be lost.
+const slowdownLifetime = 500 * time.Millisecond
 
-// Pace tells how long a rank takes for a step, over its usual time.
+// Pace is the slowdown of a rank.
 type Pace struct {
 	Engine string // address of the backend server, IP:port
-	Pace   float64
-	// Formed is when the rank's group was formed, zero = not lately.
+	// Pace is the duration of a step relative to the usual duration.
+	Pace float64
+	// Formed is when the rank's group was formed, or zero if it was not formed recently.
 	Formed time.Time
 }
 
-// EngineKey returns the key under which a backend server's pace is told.
+// EngineKey returns the key under which the slowdown of a backend server is reported.
 func EngineKey(address string) uint32 { return uint32(xxhash.Sum64String(address)) }
 
-// heardPace is what was heard of one rank.
-type heardPace struct {
+// receivedSlowdown is the latest report received about one rank.
+type receivedSlowdown struct {
 	percent uint32
-	at      time.Time // when its agent said so
-	direct  bool      // by the agent itself
-	formed  time.Time // when the rank's group was formed; zero = not heard of
+	at      time.Time // when its agent reported it
+	direct  bool      // received from the agent itself
+	formed  time.Time // when the rank's group was formed; zero = unknown
 }
 
-// paces holds what was heard of slow ranks, by engine key.
-type paces map[uint32]heardPace
+// slowdowns holds the received reports about slow ranks, by engine key.
+type slowdowns map[uint32]receivedSlowdown
 
-// hear takes over what a heartbeat says. What an agent itself says is passed on.
-func (p paces) hear(hb *wire.Heartbeat, now time.Time) {
+// receive processes the slowdowns in a heartbeat. Only reports received directly from an
+// agent are passed on.
+func (s slowdowns) receive(hb *wire.Heartbeat, now time.Time) {
 	direct := hb.GetAddress() == ""
 	for _, w := range hb.GetPaces() {
 		at := now.Add(-time.Duration(w.GetAgeMs()) * time.Millisecond)
-		if at.After(p[w.GetEngine()].at) {
-			formed := p[w.GetEngine()].formed
+		if at.After(s[w.GetEngine()].at) {
+			formed := s[w.GetEngine()].formed
 			if w.GetFormedMs() > 0 {
 				formed = now.Add(-time.Duration(w.GetFormedMs()-1) * time.Millisecond)
 			}
-			p[w.GetEngine()] = heardPace{percent: w.GetPercent(), at: at, direct: direct, formed: formed}
+			s[w.GetEngine()] = receivedSlowdown{percent: w.GetPercent(), at: at, direct: direct, formed: formed}
 		}
 	}
 }
 
-// told returns what is passed on, and forgets what is no longer known.
-func (p paces) told(now time.Time) []*wire.RankPace {
+// report returns the slowdowns to pass on, and removes outdated ones.
+func (s slowdowns) report(now time.Time) []*wire.RankPace {
 	var out []*wire.RankPace
-	for engine, h := range p {
+	for engine, h := range s {
 		age := now.Sub(h.at)
-		if age > paceLifetime {
-			delete(p, engine)
+		if age > slowdownLifetime {
+			delete(s, engine)
 			continue
 		}
 		if h.direct {
@@ -72,9 +74,9 @@
 	return out
 }
 
-// direct reports whether agents themselves told this member something.
-func (p paces) direct() bool {
-	for _, h := range p {
+// direct reports whether any report was received from an agent itself.
+func (s slowdowns) direct() bool {
+	for _, h := range s {
 		if h.direct {
 			return true
 		}
@@ -82,16 +84,17 @@
 	return false
 }
 
-// of returns a backend server's pace, 1 where nothing is known against it.
-func (p paces) of(engine uint32, now time.Time) float64 {
-	h, known := p[engine]
-	if !known || now.Sub(h.at) > paceLifetime {
+// of returns the slowdown of a backend server, or 1 if none is known.
+func (s slowdowns) of(engine uint32, now time.Time) float64 {
+	h, known := s[engine]
+	if !known || now.Sub(h.at) > slowdownLifetime {
 		return 1
 	}
 	return float64(h.percent) / 100
 }
 
-// formedMs returns how a heartbeat tells that a group was formed at a time.
+// formedMs encodes the time at which a group was formed as an age in milliseconds plus 1;
+// 0 = unknown.
 func formedMs(at, now time.Time) uint32 {
 	if at.IsZero() {
 		return 0
@@ -99,27 +102,30 @@
 	return uint32(1 + now.Sub(at).Milliseconds())
 }
 
-// Formed fills out with when the groups of backend servers were formed, by engine key, in
-// the same order; zero = not lately, as far as their agents told.
+// Formed fills out with the times at which the groups of backend servers were formed, by
+// engine key and in the same order. Zero means that their agents reported no recent
+// formation.
 func (n *Node) Formed(engines []uint32, out []time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i, e := range engines {
-		out[i] = n.table.paces[e].formed
+		out[i] = n.table.slowdowns[e].formed
 	}
 }
 
-// Pace fills out with the paces of backend servers, by engine key, in the same order.
+// Pace fills out with the slowdowns of backend servers, by engine key and in the same
+// order.
 func (n *Node) Pace(engines []uint32, out []float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := clock.Now()
 	for i, e := range engines {
-		out[i] = n.table.paces.of(e, now)
+		out[i] = n.table.slowdowns.of(e, now)
 	}
 }
 
-// TellPace tells members a rank's pace. The sender is no member for it.
+// TellPace reports a rank's slowdown to members. The sender does not become a member by
+// it.
 func (n *Node) TellPace(members []string, p Pace) {
 	hb := &wire.Heartbeat{Paces: []*wire.RankPace{{
 		Engine: EngineKey(p.Engine), Percent: uint32(100 * p.Pace), FormedMs: formedMs(p.Formed, clock.Now()),
--- a/core/cluster/pace_test.go
+++ b/core/cluster/pace_test.go
@@ -10,37 +10,38 @@
 	"baywall.example/core/wire"
 )
 
-// An agent knows some gateways only; those pass its word on, once and not for ever.
-func TestThePaceOfASlowRankReachesAllMembers(t *testing.T) {
+// An agent reports its slowdown to some gateways only. These pass it on to the others,
+// which must not relay it further, and it must expire.
+func TestSlowdownReachesAllMembers(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	now := time.Unix(1_700_000_000, 0)
 	const engine = "10.0.0.9:80"
-	told := NewTable("10.0.0.1:1", []string{"10.0.0.2:1"}, 0)
-	other := NewTable("10.0.0.2:1", []string{"10.0.0.1:1"}, 0)
+	direct := NewTable("10.0.0.1:1", []string{"10.0.0.2:1"}, 0)
+	relayed := NewTable("10.0.0.2:1", []string{"10.0.0.1:1"}, 0)
 	third := NewTable("10.0.0.3:1", nil, 0)
-	is.Equal(told.paces.of(EngineKey(engine), now), 1.0)
+	is.Equal(direct.slowdowns.of(EngineKey(engine), now), 1.0)
 
-	told.Receive(&wire.Heartbeat{Paces: []*wire.RankPace{{Engine: EngineKey(engine), Percent: 330}}}, now)
-	is.Equal(len(told.Live()), 0) // who tells a pace is no member for it
-	other.Receive(told.heartbeat(Self{Address: "10.0.0.1:1"}, rnd, now), now)
-	is.Equal(other.paces.of(EngineKey(engine), now), 3.3)
-	third.Receive(other.heartbeat(Self{Address: "10.0.0.2:1"}, rnd, now), now)
-	is.Equal(third.paces.of(EngineKey(engine), now), 1.0) // hearsay is not passed on
+	direct.Receive(&wire.Heartbeat{Paces: []*wire.RankPace{{Engine: EngineKey(engine), Percent: 330}}}, now)
+	is.Equal(len(direct.Live()), 0) // reporting a slowdown does not make the sender a member
+	relayed.Receive(direct.heartbeat(Self{Address: "10.0.0.1:1"}, rnd, now), now)
+	is.Equal(relayed.slowdowns.of(EngineKey(engine), now), 3.3)
+	third.Receive(relayed.heartbeat(Self{Address: "10.0.0.2:1"}, rnd, now), now)
+	is.Equal(third.slowdowns.of(EngineKey(engine), now), 1.0) // a relayed report is not passed on
 
-	later := now.Add(paceLifetime - 100*time.Millisecond)
-	other.Receive(told.heartbeat(Self{Address: "10.0.0.1:1"}, rnd, later), later)
-	later = now.Add(paceLifetime + time.Millisecond)
-	is.Equal(other.paces.of(EngineKey(engine), later), 1.0) // it is as old as its agent's word
-	is.Equal(len(told.heartbeat(Self{}, rnd, later).GetPaces()), 0)
+	later := now.Add(slowdownLifetime - 100*time.Millisecond)
+	relayed.Receive(direct.heartbeat(Self{Address: "10.0.0.1:1"}, rnd, later), later)
+	later = now.Add(slowdownLifetime + time.Millisecond)
+	is.Equal(relayed.slowdowns.of(EngineKey(engine), later), 1.0) // the age counts from the agent's report
+	is.Equal(len(direct.heartbeat(Self{}, rnd, later).GetPaces()), 0)
 }
 
-func TestARecoveredRankIsKnownAtOnce(t *testing.T) {
+func TestRecoveredRankIsKnownAtOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	table := NewTable("10.0.0.1:1", nil, 0)
 	table.Receive(&wire.Heartbeat{Paces: []*wire.RankPace{{Engine: 7, Percent: 330}}}, now)
 	table.Receive(&wire.Heartbeat{Paces: []*wire.RankPace{{Engine: 7, Percent: 100}}}, now.Add(time.Millisecond))
 	table.Receive(&wire.Heartbeat{Address: "10.0.0.2:1", Paces: []*wire.RankPace{{Engine: 7, Percent: 330, AgeMs: 50}}}, now.Add(2*time.Millisecond))
-	is.Equal(table.paces.of(7, now.Add(2*time.Millisecond)), 1.0) // older news changes nothing
+	is.Equal(table.slowdowns.of(7, now.Add(2*time.Millisecond)), 1.0) // an older report is ignored
 }
--- a/core/cluster/scale_test.go
+++ b/core/cluster/scale_test.go
@@ -12,15 +12,15 @@
 	"baywall.example/core/rendezvous"
 )
 
-// sizes are the fleets in which losses have to be known as soon, at the same cost for each
-// member: a tenth of the members is active.
+// sizes are the fleet sizes at which losses must be detected within the same time and at
+// the same cost for each member. A tenth of the members is active.
 var sizes = []int{254, 508, 1016}
 
-// known is the time within which nobody may list a lost active member any more.
-const known = 1500 * time.Millisecond
+// detectionLimit is the time after which no member may list a lost active member.
+const detectionLimit = 1500 * time.Millisecond
 
-// met returns a fleet whose members know each other.
-func met(n int) *fleet {
+// joined returns a fleet whose members have joined: they know each other.
+func joined(n int) *fleet {
 	var addresses []string
 	for i := range n {
 		addresses = append(addresses, fmt.Sprintf("10.0.%d.%d:1", i/200, i%200))
@@ -35,15 +35,16 @@
 		hb := f.tables[from].heartbeat(f.selves[from], f.rnd, f.now)
 		for _, to := range addresses {
 			f.tables[to].Receive(hb, f.now)
-			f.tables[to].met = f.now.Add(-meetingTime) // it was long ago
+			f.tables[to].joined = f.now.Add(-discoveryTime) // as if no member had joined recently
 		}
 	}
 	return f
 }
 
-// beat runs the fleet for a time as Node does, in which a settled standby looks for due
-// heartbeats less often, and counts the datagrams of active members and of standbys.
-func (f *fleet) beat(d time.Duration) (actives, standbys int) {
+// runNodes runs the fleet for a time in the way that Node does: a settled standby looks
+// for due heartbeats less often. It returns the number of datagrams sent by active members
+// and by standbys.
+func (f *fleet) runNodes(d time.Duration) (actives, standbys int) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(tick) {
 		for a, t := range f.tables {
 			active := f.selves[a].Active
@@ -66,10 +67,10 @@
 	return actives, standbys
 }
 
-// peerHash spreads the looks of standbys over time.
+// peerHash spreads the ticks of standbys over time.
 func (t *Table) peerHash() uint8 { return uint8(rendezvous.Hash(t.self)) }
 
-// listed reports whether any running member lists a lost active one.
+// listed reports whether any running member still lists a lost active member.
 func (f *fleet) listed(lost map[string]bool) bool {
 	for a, table := range f.tables {
 		if lost[a] {
@@ -84,33 +85,34 @@
 	return false
 }
 
-// lose cuts members off and returns after which time nobody lists an active one of them any
-// more, or most.
+// lose cuts members off. It returns the time, at most the given one, until no running
+// member lists an active one of them.
 func (f *fleet) lose(lost map[string]bool, most time.Duration) time.Duration {
 	for a := range lost {
 		f.cut[a] = true
 	}
 	began := f.now
 	for f.listed(lost) && f.now.Sub(began) < most {
-		f.beat(tick)
+		f.runNodes(tick)
 	}
 	return f.now.Sub(began)
 }
 
-// Callers ask any member where to connect, so none may list an active member for long that was
-// lost, alone or with half of the fleet; and what that costs must not grow with the fleet.
-func TestLossesAreKnownSoonAtTheSameCostInAnyFleet(t *testing.T) {
+// Callers ask any member where to connect, so no member may list a lost active member for
+// long, whether one member is lost or half of the fleet. The cost of detection must not
+// grow with the fleet.
+func TestLossDetectionTimeAndCostDoNotGrowWithFleet(t *testing.T) {
 	for _, n := range sizes {
 		t.Run(fmt.Sprintf("%d members", n), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			defer debug.SetGCPercent(debug.SetGCPercent(400)) // a million peers
-			f := met(n)
-			f.beat(time.Second)
-			actives, standbys := f.beat(time.Second)
+			defer debug.SetGCPercent(debug.SetGCPercent(400)) // the largest fleet has a million Peer values
+			f := joined(n)
+			f.runNodes(time.Second)
+			actives, standbys := f.runNodes(time.Second)
 			active, standby := actives/((n+9)/10), standbys/(n-(n+9)/10)
 			one := f.lose(map[string]bool{"10.0.0.10:1": true}, 4*time.Second)
-			f.beat(time.Second)
+			f.runNodes(time.Second)
 			lost := make(map[string]bool)
 			for a := range f.tables {
 				if f.rnd.IntN(100) < 55 {
@@ -120,31 +122,32 @@
 			half := f.lose(lost, 4*time.Second)
 			t.Logf("%d members: one lost %v, %d lost %v, %d datagrams a second from an active member, %d from a standby",
 				n, one, len(lost), half, active, standby)
-			is.True(one <= known)
-			is.True(half <= known)
+			is.True(one <= detectionLimit)
+			is.True(half <= detectionLimit)
 			is.True(active <= 340) // as in a fleet of 100
 			is.True(standby <= 20)
 		})
 	}
 }
 
-// A member that hears nobody takes all others for lost, and tells those that still hear it.
-func TestAMemberThatHearsNobodyConvincesNoOther(t *testing.T) {
+// A member that receives nothing considers all others lost and reports them to members
+// that still receive its heartbeats.
+func TestLossReportsOfMemberThatReceivesNothingAreRejected(t *testing.T) {
 	is := is.New(t)
-	f := met(120)
-	f.beat(time.Second)
-	const deaf = "10.0.0.10:1"
-	table := f.tables[deaf]
+	f := joined(120)
+	f.runNodes(time.Second)
+	const unreachable = "10.0.0.10:1"
+	table := f.tables[unreachable]
 	for end := f.now.Add(4 * time.Second); f.now.Before(end); {
-		f.tables[deaf] = nil // nothing reaches it
-		f.beatBut(deaf)
-		f.tables[deaf] = table
-		out, _ := table.Tick(f.selves[deaf], f.rnd, f.now)
-		f.deliver(deaf, out)
+		f.tables[unreachable] = nil // it receives nothing
+		f.tickAllBut(unreachable)
+		f.tables[unreachable] = table
+		out, _ := table.Tick(f.selves[unreachable], f.rnd, f.now)
+		f.deliver(unreachable, out)
 		for a, other := range f.tables {
-			if a != deaf {
+			if a != unreachable {
 				live := other.Live()
-				live = slices.DeleteFunc(live, func(p Peer) bool { return p.Address == deaf }) // it sends seldom then
+				live = slices.DeleteFunc(live, func(p Peer) bool { return p.Address == unreachable }) // it now sends rarely
 				is.Equal(len(live), 118)
 			}
 		}
@@ -152,10 +155,10 @@
 	is.Equal(len(table.Live()), 0)
 }
 
-// beatBut runs one look of all members but one.
-func (f *fleet) beatBut(deaf string) {
+// tickAllBut runs one tick of all members but one.
+func (f *fleet) tickAllBut(unreachable string) {
 	for a, t := range f.tables {
-		if a != deaf {
+		if a != unreachable {
 			out, _ := t.Tick(f.selves[a], f.rnd, f.now)
 			f.deliver(a, out)
 		}
@@ -163,17 +166,17 @@
 	f.now = f.now.Add(tick)
 }
 
-// A member that was frozen for some seconds, and taken for lost, is listed by all again soon
-// after it goes on.
-func TestAMemberThatGoesOnIsListedAgainSoon(t *testing.T) {
+// A member that was frozen for some seconds and marked lost must be listed by all others
+// again soon after it resumes.
+func TestMemberThatResumesIsListedAgainSoon(t *testing.T) {
 	is := is.New(t)
-	f := met(254)
-	f.beat(time.Second)
+	f := joined(254)
+	f.runNodes(time.Second)
 	const frozen = "10.0.0.10:1"
-	is.True(f.lose(map[string]bool{frozen: true}, 4*time.Second) <= known)
-	f.beat(2500 * time.Millisecond)
+	is.True(f.lose(map[string]bool{frozen: true}, 4*time.Second) <= detectionLimit)
+	f.runNodes(2500 * time.Millisecond)
 	f.cut[frozen] = false
-	f.beat(2500 * time.Millisecond)
+	f.runNodes(2500 * time.Millisecond)
 	for a, table := range f.tables {
 		if a != frozen {
 			is.True(table.alive[frozen])
--- a/core/cluster/stall.go
+++ b/core/cluster/stall.go
@@ -6,37 +6,40 @@
 )
 
 const (
-	// stalledFrom is the time between two looks for due heartbeats from which a process is
-	// taken to have stood still, drainTime the time in which it reads what came meanwhile.
-	stalledFrom = 500 * time.Millisecond
-	drainTime   = 100 * time.Millisecond
+	// stallThreshold is the time between two ticks from which the process counts as
+	// stalled. drainTime is how long it then needs to read the datagrams that arrived in
+	// the meantime.
+	stallThreshold = 500 * time.Millisecond
+	drainTime      = 100 * time.Millisecond
 )
 
-// stall tells whether datagrams may have waited in the socket while the process stood still:
-// the ages in them are too low then, by as long. It is safe for concurrent use.
+// stall detects whether datagrams may have waited in the socket buffer while the process
+// was stalled. The ages that they carry are then too low by the waiting time. It is safe
+// for concurrent use.
 type stall struct {
-	mu     sync.Mutex
-	looked time.Time // for due heartbeats; zero = not yet
-	until  time.Time // what is read before may have waited
+	mu         sync.Mutex
+	lastTick   time.Time // time of the latest tick; zero = none yet
+	drainUntil time.Time // datagrams read before this time may have waited
 }
 
-// look notes a look for due heartbeats.
-func (s *stall) look(now time.Time) {
+// recordTick records a tick of the process.
+func (s *stall) recordTick(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stalled(now) {
-		s.until = now.Add(drainTime)
+		s.drainUntil = now.Add(drainTime)
 	}
-	s.looked = now
+	s.lastTick = now
 }
 
-// waited reports whether a datagram that is read now may have waited.
-func (s *stall) waited(now time.Time) bool {
+// mayHaveWaited reports whether a datagram that is read now may have waited in the socket
+// buffer.
+func (s *stall) mayHaveWaited(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stalled(now) || now.Before(s.until)
+	return s.stalled(now) || now.Before(s.drainUntil)
 }
 
 func (s *stall) stalled(now time.Time) bool {
-	return !s.looked.IsZero() && now.Sub(s.looked) >= stalledFrom
+	return !s.lastTick.IsZero() && now.Sub(s.lastTick) >= stallThreshold
 }
--- a/core/cluster/table.go
+++ b/core/cluster/table.go
@@ -15,82 +15,83 @@
 )
 
 const (
-	// minInterval is the time between two heartbeats to one peer: in-flight
-	// counts are then at most one pass of an engine old.
+	// minInterval is the minimum time between two heartbeats to one peer. In-flight counts
+	// are then at most as old as one pass of an engine.
 	minInterval = 40 * time.Millisecond
-	// DefaultPerPeer stretches the interval in larger fleets, which bounds an active
-	// member to 125 heartbeats a second to other active ones.
+	// DefaultPerPeer is the time by which each peer lengthens the interval. It limits an
+	// active member to 125 heartbeats a second to other active members.
 	DefaultPerPeer = 8 * time.Millisecond
-	// silence is how long a peer may be silent and still be handed out: a few
-	// heartbeats, as datagrams may be lost.
-	silence = 900 * time.Millisecond
-	// forgetAfter is when a silent peer is no longer sent heartbeats.
+	// silenceTimeout is the minimum length of silence after which a peer is lost. It
+	// covers several heartbeats, as datagrams may be lost.
+	silenceTimeout = 900 * time.Millisecond
+	// forgetAfter is the silence after which a lost peer is no longer sent heartbeats.
 	forgetAfter = 60 * time.Second
-	// silentInterval is the time between heartbeats to a silent peer.
+	// silentInterval is the minimum time between two heartbeats to a silent peer.
 	silentInterval = time.Second
-	// gapFresh is how long a peer's gap outweighs shorter ones of others: about
-	// the time in which all members of a fleet of 30 are heard once.
+	// gapFresh is how long a peer's gap takes precedence over shorter gaps from other
+	// peers. In about this time every member of a fleet of 30 sends a heartbeat.
 	gapFresh = 300 * time.Millisecond
-	// gapLifetime is how long a gap counts where no newer one is heard.
+	// gapLifetime is how long a gap counts if no newer one is received.
 	gapLifetime = time.Second
-	// foundLifetime is how long a server counts as found after a member said so.
+	// foundLifetime is how long a server counts as found after a member reported it.
 	foundLifetime = 500 * time.Millisecond
-	// mostFound bounds the servers named in one datagram.
-	mostFound = 256
-	// contactsPerHeartbeat bounds the addresses passed on in one datagram.
+	// maxFound is the maximum number of found servers in one datagram.
+	maxFound = 256
+	// contactsPerHeartbeat is the maximum number of addresses passed on in one datagram.
 	contactsPerHeartbeat = 4
-	// contactsEvery is in which heartbeats there are any once all members are met,
-	// meetingTime how long after the latest one that is: they are a fifth of a
-	// heartbeat.
+	// contactsEvery is the period, in heartbeats, at which contacts are sent once all
+	// members are known. Until discoveryTime has passed since the last member joined,
+	// every heartbeat carries them. Contacts are a fifth of a heartbeat.
 	contactsEvery = 8
-	meetingTime   = 3 * time.Second
+	discoveryTime = 3 * time.Second
 )
 
-// Self is what this member says about itself.
+// Self is this member's own state, as sent in its heartbeats.
 type Self struct {
 	VM             vm.ID
 	Incarnation    vm.Incarnation
 	Zone           string
-	Address        string // where heartbeats and links are taken, IP:port
-	Front          string // where callers connect, IP:port
+	Address        string // IP:port for heartbeats and links
+	Front          string // IP:port for callers
 	Ready          bool
 	CatalogVersion uint64
-	StoreChanged   source.Position // newest change of the store that it knows
+	StoreChanged   source.Position // latest change of the store known to this member
 	Load           map[uint32]Load // by backend server key
-	// Found are backend servers, by key, that lately turned out to take requests again.
+	// Found lists backend servers, by key, that were recently found to accept requests
+	// again.
 	Found []uint32
-	// StoreHeard is when the store last answered this member; zero = never. Others are told
-	// the latest answer to this one or any that it hears.
+	// StoreHeard is when the store last answered this member, or zero if it never did.
+	// Heartbeats carry the latest answer to this member or to any live peer.
 	StoreHeard time.Time
-	// StoreFailing tells that the store does not answer this member.
+	// StoreFailing reports that the store does not answer this member.
 	StoreFailing bool
-	// Retained is the digest of what it knows better than the store, 0 = nothing.
+	// Retained is the digest of the state that this member has in a newer version than the
+	// store, or 0 if there is none.
 	Retained uint64
-	Rank     *RankLabel // nil unless it is the agent of a rank
-	// Suspects returns what is told of requests that may end backend servers; nil =
-	// nothing.
+	Rank     *RankLabel // nil unless the member is the agent of a rank
+	// Suspects returns the requests to report that may end backend servers. It may be nil.
 	Suspects func(now time.Time) []*wire.Suspect
-	// Limits returns what is told of the limits that backend servers name; nil = nothing.
+	// Limits returns the limits of backend servers to report. It may be nil.
 	Limits func(now time.Time) []*wire.ServerLimit
 	Activity
 }
 
-// Load is what one or more members put on a backend server.
+// Load is the load that one or more members put on a backend server.
 type Load struct {
 	Requests int // in flight
-	// Gap is the pause between events of the streams, 0 = not known; of several
-	// members the longest.
+	// Gap is the time between events of the streams, or 0 if unknown. For several members
+	// it is the longest.
 	Gap time.Duration
-	// Found tells that a member lately found the server to take requests again.
+	// Found reports that a member recently found the server to accept requests again.
 	Found bool
 }
 
-// RankLabel is the place of a rank in its expert-parallel group.
+// RankLabel identifies a rank in its expert-parallel group.
 type RankLabel struct {
 	Group string
 	Epoch uint64
 	Rank  int
-	Size  int // ranks of the group
+	Size  int // number of ranks in the group
 }
 
 func (r *RankLabel) wire() *wire.RankLabel {
@@ -107,7 +108,7 @@
 	return &RankLabel{Group: w.GetGroup(), Epoch: w.GetEpoch(), Rank: int(w.GetRank()), Size: int(w.GetSize())}
 }
 
-// Peer is what another member last said about itself.
+// Peer is the latest state received from another member.
 type Peer struct {
 	VM             vm.ID
 	Incarnation    vm.Incarnation
@@ -116,33 +117,33 @@
 	Front          string
 	Ready          bool
 	CatalogVersion uint64
-	StoreChanged   source.Position // newest change of the store that it knows
-	StoreHeard     time.Time       // when the store last answered it, or one that it hears; zero = not known
-	StoreFailing   bool            // the store does not answer it
-	Retained       uint64          // digest of what it knows better than the store, 0 = nothing
+	StoreChanged   source.Position // latest change of the store known to the peer
+	StoreHeard     time.Time       // when the store last answered the peer or a member that it receives heartbeats from; zero = unknown
+	StoreFailing   bool            // whether the store does not answer the peer
+	Retained       uint64          // digest of the state that it has in a newer version than the store, 0 = none
 	Rank           *RankLabel
 	Heard          time.Time
 	Activity
 
-	sequence uint64
-	load     map[uint32]Load
-	sent     time.Time
-	hash     uint64    // of the address
-	near     time.Time // since when it attends to this member or is attended by it, zero = neither
-	eager    bool      // a standby that sends more often than expected: it takes this member for lost, or for near
+	sequence   uint64
+	load       map[uint32]Load
+	sent       time.Time
+	hash       uint64    // of the address
+	paired     time.Time // since when it monitors this member or is monitored by it, zero = neither
+	sendsEarly bool      // a standby that sends earlier than expected: it considers this member lost, or one of its monitors
 }
 
-// heardGap is the longest gap that peers lately named for a backend server.
-type heardGap struct {
-	gap   time.Duration
-	heard time.Time
+// receivedGap is the longest gap that peers recently reported for a backend server.
+type receivedGap struct {
+	gap        time.Duration
+	receivedAt time.Time
 }
 
-// Change is a peer that was met, lost or regained.
+// Change reports that a peer joined, was lost or was regained.
 type Change struct {
-	Peer  Peer
-	Alive bool
-	Met   bool // heard for the first time, or in a new incarnation
+	Peer   Peer
+	Alive  bool
+	Joined bool // first heartbeat from the peer, or from a new incarnation of it
 }
 
 // Datagram is a heartbeat to send.
@@ -154,40 +155,40 @@
 // Table is the state of the heartbeat protocol. It is not safe for concurrent
 // use.
 type Table struct {
-	self     string // own address
-	perPeer  time.Duration
-	seeds    map[string]time.Time
-	expects  []string
-	peers    map[string]*Peer
-	alive    map[string]bool
-	totals   map[uint32]int
-	gaps     map[uint32]heardGap
-	paces    paces
-	found    map[uint32]time.Time // when members named a server as found
-	met      time.Time            // when a member was met last
-	told     time.Time            // when this member last announced itself
-	own      Self                 // as last told
-	actives  int                  // live members that are active, this one included
-	lost     map[string]time.Time
-	sequence uint64
-
-	attendance attendance
+	self              string // own address
+	perPeer           time.Duration
+	seeds             map[string]time.Time
+	expectedAddresses []string
+	peers             map[string]*Peer
+	alive             map[string]bool
+	totals            map[uint32]int
+	gaps              map[uint32]receivedGap
+	slowdowns         slowdowns
+	found             map[uint32]time.Time // when a member last reported a server as found
+	joined            time.Time            // when a member last joined or was regained
+	announcedAt       time.Time            // when this member last announced itself
+	own               Self                 // as of the latest Tick
+	actives           int                  // live active members, including this one
+	lost              map[string]time.Time
+	sequence          uint64
+
+	monitoring monitoring
 }
 
-// NewTable returns the table of the member at the address. Its interval grows by
-// perPeer with each peer.
+// NewTable returns the table of the member at the address. Each peer lengthens the
+// heartbeat interval by perPeer.
 func NewTable(self string, seeds []string, perPeer time.Duration) *Table {
 	t := &Table{
 		self: self, perPeer: perPeer,
 		peers: make(map[string]*Peer), alive: make(map[string]bool), totals: make(map[uint32]int),
-		gaps: make(map[uint32]heardGap), paces: make(paces), lost: make(map[string]time.Time),
+		gaps: make(map[uint32]receivedGap), slowdowns: make(slowdowns), lost: make(map[string]time.Time),
 		found: make(map[uint32]time.Time),
 	}
 	t.SetSeeds(seeds)
 	return t
 }
 
-// SetSeeds replaces the addresses that are asked until they answer.
+// SetSeeds replaces the addresses that are sent heartbeats until they answer.
 func (t *Table) SetSeeds(seeds []string) {
 	t.seeds = make(map[string]time.Time, len(seeds))
 	for _, s := range seeds {
@@ -197,21 +198,21 @@
 	}
 }
 
-// Tick returns the heartbeats that are due and the peers that fell silent.
+// Tick returns the heartbeats that are due and the peers that were lost.
 func (t *Table) Tick(self Self, rnd *rand.Rand, now time.Time) ([]Datagram, []Change) {
-	t.attendance.stale = t.attendance.stale || t.own.Active != self.Active
+	t.monitoring.stale = t.monitoring.stale || t.own.Active != self.Active
 	t.own = self
-	t.attend(now)
+	t.assignMonitors(now)
 	changes := t.expire(now)
 	t.countActives()
-	t.tellLosses(now)
+	t.scheduleLossReport(now)
 	var due, brief []string
 	for address, p := range t.peers {
 		if now.Sub(p.sent) < t.intervalTo(p, now) {
 			continue
 		}
-		p.sent, p.eager = now, false
-		if t.toldLoad(p) {
+		p.sent, p.sendsEarly = now, false
+		if t.receivesLoad(p) {
 			due = append(due, address)
 		} else {
 			brief = append(brief, address)
@@ -229,14 +230,16 @@
 	return t.datagrams(t.heartbeat(self, rnd, now), due, brief), changes
 }
 
-// toldLoad reports whether a peer is told of the requests in flight: standbys send few
-// requests, and the counts are most of a heartbeat. What is told seldom would count for long.
-func (t *Table) toldLoad(p *Peer) bool {
-	return p.Active && (t.own.Active || !t.attendance.on || p.isNear() || t.sparse() <= standbyAttention)
+// receivesLoad reports whether heartbeats to a peer carry the requests in flight. The
+// counts are most of a heartbeat, and standbys send few requests, so they go without.
+// Peers with a long heartbeat interval go without as well: they would use an outdated
+// count for too long.
+func (t *Table) receivesLoad(p *Peer) bool {
+	return p.Active && (t.own.Active || !t.monitoring.enabled || p.isMonitorPair() || t.standbyInterval() <= standbyMonitorInterval)
 }
 
-// datagrams returns a heartbeat to those that are told of the requests in flight and, without
-// these, to the others.
+// datagrams returns the full heartbeat for the addresses in full, and for those in brief
+// one without the requests in flight.
 func (t *Table) datagrams(hb *wire.Heartbeat, full, brief []string) []Datagram {
 	out := make([]Datagram, 0, len(full)+len(brief))
 	for _, address := range full {
@@ -253,12 +256,12 @@
 	return out
 }
 
-// All returns a heartbeat to every peer, whether due or not.
+// All returns a heartbeat for every peer, whether due or not.
 func (t *Table) All(self Self, rnd *rand.Rand, now time.Time) []Datagram {
-	t.told = now
+	t.announcedAt = now
 	var full, brief []string
 	for address, p := range t.peers {
-		if t.toldLoad(p) {
+		if t.receivesLoad(p) {
 			full = append(full, address)
 		} else {
 			brief = append(brief, address)
@@ -267,39 +270,39 @@
 	return t.datagrams(t.heartbeat(self, rnd, now), full, brief)
 }
 
-// Receive takes a heartbeat. A doubled or overtaken one is ignored.
+// Receive processes a heartbeat. Duplicate and reordered heartbeats are ignored.
 func (t *Table) Receive(hb *wire.Heartbeat, now time.Time) []Change {
-	t.paces.hear(hb, now)
+	t.slowdowns.receive(hb, now)
 	address := hb.GetAddress()
 	if address == "" || address == t.self {
 		return nil
 	}
 	p := t.peers[address]
-	met := p == nil || p.Incarnation != vm.Incarnation(hb.GetIncarnation())
-	if p != nil && !met && hb.GetSequence() <= p.sequence {
+	joined := p == nil || p.Incarnation != vm.Incarnation(hb.GetIncarnation())
+	if p != nil && !joined && hb.GetSequence() <= p.sequence {
 		return nil
 	}
-	if p != nil && vm.Incarnation(hb.GetIncarnation()) < p.Incarnation && now.Sub(p.Heard) < silence {
-		return nil // an earlier process's datagram that was on its way
+	if p != nil && vm.Incarnation(hb.GetIncarnation()) < p.Incarnation && now.Sub(p.Heard) < silenceTimeout {
+		return nil // delayed datagram of an earlier process
 	}
-	next := t.replace(p, hb, now)
+	next := t.replacePeer(p, hb, now)
 	for _, server := range hb.GetFound() {
 		t.found[server] = now
 	}
-	t.learn(hb.GetContacts())
-	changes := t.hearLost(address, hb.GetLost(), now)
-	if met || !t.alive[address] {
+	t.addContacts(hb.GetContacts())
+	changes := t.receiveLost(address, hb.GetLost(), now)
+	if joined || !t.alive[address] {
 		t.alive[address] = true
-		t.met = now
-		t.attendance.stale = true
+		t.joined = now
+		t.monitoring.stale = true
 		delete(t.lost, address)
-		delete(t.attendance.reports, address)
-		changes = append(changes, Change{Peer: *next, Alive: true, Met: met})
+		delete(t.monitoring.reports, address)
+		changes = append(changes, Change{Peer: *next, Alive: true, Joined: joined})
 	}
 	return changes
 }
 
-func (t *Table) replace(old *Peer, hb *wire.Heartbeat, now time.Time) *Peer {
+func (t *Table) replacePeer(old *Peer, hb *wire.Heartbeat, now time.Time) *Peer {
 	next := &Peer{
 		VM: vm.ID(hb.GetVm()), Incarnation: vm.Incarnation(hb.GetIncarnation()), Zone: hb.GetZone(),
 		Address: hb.GetAddress(), Front: hb.GetFront(), Ready: hb.GetReady(),
@@ -312,24 +315,24 @@
 		next.StoreHeard = now.Add(-time.Duration(age-1) * time.Millisecond)
 	}
 	if old != nil {
-		next.sent, next.hash, next.near = old.sent, old.hash, old.near
-		early := !t.alive[next.Address] || now.Sub(old.Heard) < t.expected(old)/eagerPart
-		next.eager = early && t.own.Active && !next.Active
-		t.attendance.stale = t.attendance.stale || old.Active != next.Active
-		t.subtract(old)
+		next.sent, next.hash, next.paired = old.sent, old.hash, old.paired
+		early := !t.alive[next.Address] || now.Sub(old.Heard) < t.expectedInterval(old)/earlyDivisor
+		next.sendsEarly = early && t.own.Active && !next.Active
+		t.monitoring.stale = t.monitoring.stale || old.Active != next.Active
+		t.subtractLoad(old)
 	} else {
 		next.hash = rendezvous.Hash(next.Address)
 	}
 	for _, f := range hb.GetInFlight() {
 		next.load[f.GetServer()] = Load{Requests: int(f.GetRequests()), Gap: time.Duration(f.GetGapMs()) * time.Millisecond}
 		t.totals[f.GetServer()] += int(f.GetRequests())
-		t.hearGap(f.GetServer(), next.load[f.GetServer()].Gap, now)
+		t.receiveGap(f.GetServer(), next.load[f.GetServer()].Gap, now)
 	}
 	t.peers[next.Address] = next
 	return next
 }
 
-func (t *Table) subtract(p *Peer) {
+func (t *Table) subtractLoad(p *Peer) {
 	for server, l := range p.load {
 		if t.totals[server] -= l.Requests; t.totals[server] <= 0 {
 			delete(t.totals, server)
@@ -339,8 +342,8 @@
 	p.load = nil
 }
 
-// learn notes addresses of gateways that have not been heard yet.
-func (t *Table) learn(contacts []string) {
+// addContacts adds addresses of members that have not sent a heartbeat yet as seeds.
+func (t *Table) addContacts(contacts []string) {
 	for _, address := range contacts {
 		if address != t.self && t.peers[address] == nil {
 			if _, known := t.seeds[address]; !known {
@@ -358,9 +361,9 @@
 		}
 	}
 	for address, p := range t.peers {
-		if t.alive[address] && now.Sub(p.quietSince()) > max(silence, missedIntervals*t.expected(p)) {
-			out = append(out, t.lose(p))
-			t.noteLoss(p, now)
+		if t.alive[address] && now.Sub(p.silentSince()) > max(silenceTimeout, missedIntervals*t.expectedInterval(p)) {
+			out = append(out, t.markLost(p))
+			t.recordLoss(p, now)
 		}
 		if now.Sub(p.Heard) > forgetAfter && !t.alive[address] {
 			delete(t.peers, address)
@@ -369,15 +372,15 @@
 	return out
 }
 
-// lose notes that a peer fell silent.
-func (t *Table) lose(p *Peer) Change {
+// markLost marks a peer as lost.
+func (t *Table) markLost(p *Peer) Change {
 	delete(t.alive, p.Address)
-	t.attendance.stale, p.near = true, time.Time{}
-	t.subtract(p)
+	t.monitoring.stale, p.paired = true, time.Time{}
+	t.subtractLoad(p)
 	return Change{Peer: *p}
 }
 
-// Live returns the peers that were heard lately.
+// Live returns the peers that are not lost.
 func (t *Table) Live() []Peer {
 	out := make([]Peer, 0, len(t.alive))
 	for address := range t.alive {
@@ -386,9 +389,9 @@
 	return out
 }
 
-// knows reports whether a VM may be a member at the host: one that was heard there,
-// or one at a seed's.
-func (t *Table) knows(id vm.ID, host string) bool {
+// mayBeMember reports whether a VM may be a member at the host: either its heartbeats came
+// from there, or the host is that of a seed or of an expected address.
+func (t *Table) mayBeMember(id vm.ID, host string) bool {
 	at := func(address string) bool {
 		h, _, err := net.SplitHostPort(address)
 		return err == nil && h == host
@@ -403,15 +406,15 @@
 			return true
 		}
 	}
-	return slices.ContainsFunc(t.expects, at)
+	return slices.ContainsFunc(t.expectedAddresses, at)
 }
 
-// Expect replaces the addresses at which members may be that are not looked for.
-func (t *Table) Expect(addresses []string) { t.expects = addresses }
+// Expect replaces the addresses where members may be that are not sent heartbeats.
+func (t *Table) Expect(addresses []string) { t.expectedAddresses = addresses }
 
-// storeHeard returns when the store last answered this member or any live peer, as far as
-// that is known.
-func (t *Table) storeHeard(own time.Time) time.Time {
+// lastStoreAnswer returns when the store last answered this member or any live peer, as
+// far as known.
+func (t *Table) lastStoreAnswer(own time.Time) time.Time {
 	for address := range t.alive {
 		if p := t.peers[address]; p.StoreHeard.After(own) {
 			own = p.StoreHeard
@@ -420,28 +423,29 @@
 	return own
 }
 
-// settled reports whether nobody was met lately and nothing was announced.
+// settled reports whether no member has joined or was regained recently and nothing was
+// announced recently.
 func (t *Table) settled(now time.Time) bool {
-	return now.Sub(t.met) >= meetingTime && now.Sub(t.told) >= repeatTime
+	return now.Sub(t.joined) >= discoveryTime && now.Sub(t.announcedAt) >= repeatTime
 }
 
-// Members returns the number of live active members, this one included.
+// Members returns the number of live active members, including this one.
 func (t *Table) Members() int { return max(1, t.actives) }
 
-// Load returns what live peers put on the backend server.
+// Load returns the load that live peers put on a backend server.
 func (t *Table) Load(server uint32, now time.Time) Load {
 	out := Load{Requests: t.totals[server], Found: now.Sub(t.found[server]) < foundLifetime}
-	if g := t.gaps[server]; out.Requests > 0 && now.Sub(g.heard) < gapLifetime {
+	if g := t.gaps[server]; out.Requests > 0 && now.Sub(g.receivedAt) < gapLifetime {
 		out.Gap = g.gap
 	}
 	return out
 }
 
-// hearGap takes what a peer says of a backend server's gap. A longer one counts
-// at once, a shorter one when the longer is no longer fresh.
-func (t *Table) hearGap(server uint32, gap time.Duration, now time.Time) {
+// receiveGap processes the gap that a peer reports for a backend server. A longer gap
+// takes effect at once, a shorter one only when the longer one is older than gapFresh.
+func (t *Table) receiveGap(server uint32, gap time.Duration, now time.Time) {
 	old := t.gaps[server]
-	if gap >= old.gap || now.Sub(old.heard) >= gapFresh {
-		t.gaps[server] = heardGap{gap: gap, heard: now}
+	if gap >= old.gap || now.Sub(old.receivedAt) >= gapFresh {
+		t.gaps[server] = receivedGap{gap: gap, receivedAt: now}
 	}
 }
--- a/core/cluster/table_test.go
+++ b/core/cluster/table_test.go
@@ -12,7 +12,8 @@
 	"baywall.example/core/wire"
 )
 
-// fleet is a number of tables with a network that loses nothing unless told to.
+// fleet is a set of tables connected by a network that loses no datagrams except those of
+// cut members.
 type fleet struct {
 	tables map[string]*Table
 	selves map[string]Self
@@ -53,7 +54,7 @@
 	}
 }
 
-func TestOneSeedIsEnoughToMeetTheFleet(t *testing.T) {
+func TestOneSeedIsEnoughToDiscoverFleet(t *testing.T) {
 	is := is.New(t)
 	f := newFleet([]string{"a"}, "a", "b", "c", "d", "e")
 	f.run(3 * time.Second)
@@ -62,7 +63,7 @@
 	}
 }
 
-func TestASilentPeerIsLostAndRegained(t *testing.T) {
+func TestSilentPeerIsLostAndRegained(t *testing.T) {
 	is := is.New(t)
 	f := newFleet([]string{"a"}, "a", "b", "c")
 	f.run(2 * time.Second)
@@ -91,7 +92,7 @@
 	is.Equal(f.tables["a"].Load(7, f.now).Requests, 3)
 }
 
-func TestOvertakenHeartbeatsAreIgnored(t *testing.T) {
+func TestReorderedHeartbeatsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	table := NewTable("a", nil, DefaultPerPeer)
@@ -101,24 +102,25 @@
 	table.Receive(hb(2, 5, false), now)
 	table.Receive(hb(2, 4, true), now)
 	is.Equal(table.Live()[0].Ready, false)
-	table.Receive(hb(1, 9, true), now) // of the process before
+	table.Receive(hb(1, 9, true), now) // from the previous process
 	is.Equal(table.Live()[0].Incarnation, vm.Incarnation(2))
 	table.Receive(hb(3, 1, true), now)
 	is.Equal(table.Live()[0].Ready, true)
 }
 
-// A clock that jumped back gives a new process a smaller incarnation.
-func TestASmallerIncarnationIsTakenOnceTheOldOneIsSilent(t *testing.T) {
+// If the clock jumped back, a new process has a smaller incarnation.
+func TestSmallerIncarnationIsAcceptedOnceOldOneIsSilent(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	table := NewTable("a", nil, DefaultPerPeer)
 	table.Receive(&wire.Heartbeat{Vm: "b", Address: "b", Incarnation: 9, Sequence: 5}, now)
-	table.Receive(&wire.Heartbeat{Vm: "b", Address: "b", Incarnation: 3, Sequence: 1, Ready: true}, now.Add(2*silence))
+	table.Receive(&wire.Heartbeat{Vm: "b", Address: "b", Incarnation: 3, Sequence: 1, Ready: true}, now.Add(2*silenceTimeout))
 	is.Equal(table.Live()[0].Ready, true)
 }
 
-// Addresses of others are of use while members are met, and a fifth of a heartbeat.
-func TestContactsAreRareOnceAllMembersAreMet(t *testing.T) {
+// Addresses of other members are useful only while members discover each other, and make
+// up a fifth of a heartbeat.
+func TestContactsAreRareOnceAllMembersAreKnown(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	now := time.Unix(1_700_000_000, 0)
@@ -134,5 +136,5 @@
 		return n
 	}
 	is.Equal(with(now), 10*contactsEvery)
-	is.Equal(with(now.Add(meetingTime)), 10)
+	is.Equal(with(now.Add(discoveryTime)), 10)
 }
