--- a/core/ratelimit/bound_test.go
+++ b/core/ratelimit/bound_test.go
@@ -11,10 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// fault disturbs a fleet that has kept a limit for some seconds.
+// fault disturbs a fleet that has enforced a limit for some seconds.
 type fault struct {
 	name string
-	play func(f *simFleet)
+	run  func(f *simFleet)
 }
 
 var faults = []fault{
@@ -34,14 +34,14 @@
 	{"grantor is cut off", func(f *simFleet) {
 		f.cut(4*time.Second, []*simGateway{f.grantor(f.servers[0])}, true)
 	}},
-	{"cut in two, nobody excused", func(f *simFleet) {
+	{"partition in two, no gateway excluded", func(f *simFleet) {
 		f.cut(5*time.Second, f.gateways[:len(f.gateways)/2], false)
 	}},
 	{"datagrams are lost", func(f *simFleet) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for _, g := range f.gateways {
-			g.lossy = 0.4
+			g.lossRate = 0.4
 		}
 	}},
 	{"all restart in turn", func(f *simFleet) {
@@ -59,29 +59,29 @@
 	{"the limit goes up and down", func(f *simFleet) {
 		limit := f.servers[0].limit
 		for range 3 {
-			f.names(f.servers[0], 0)
+			f.setLimit(f.servers[0], 0)
 			time.Sleep(1200 * time.Millisecond)
-			f.names(f.servers[0], limit)
+			f.setLimit(f.servers[0], limit)
 			time.Sleep(1500 * time.Millisecond)
 		}
 	}},
 }
 
-// outcome is what one run showed.
+// outcome is the result of one run.
 type outcome struct {
-	counted int     // most requests at the first server in a window, from gateways not disturbed
-	all     int     // from all gateways
-	asks    float64 // for each permit, of all gateways
-	used    float64 // part of what the first server's limit allows, in the time without a fault
+	counted           int     // most requests at the first server in a window, from gateways that were not disturbed
+	all               int     // the same from all gateways
+	requestsPerPermit float64 // permit requests for each permit, of all gateways
+	used              float64 // fraction of the first server's limit that was used in the time without a fault
 }
 
-// scene is a fleet before servers of which the first named a limit some time ago.
-type scene struct {
+// scenario is a fleet and its servers, which report limits after a while.
+type scenario struct {
 	gateways  int
-	way       way
-	limits    []float64 // that they name in the end, 0 = none
+	strategy  strategy
+	limits    []float64 // reported in the end, 0 = none
 	perSecond float64
-	calm      time.Duration // after the naming, before the fault
+	steady    time.Duration // between the first report and the fault
 	seed      uint64
 }
 
@@ -90,49 +90,51 @@
 	faultTime = 5 * time.Second
 )
 
-func (s scene) play(t *testing.T, fl fault) (out outcome) {
+func (s scenario) run(t *testing.T, fl fault) (out outcome) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		f := newFleet(ctx, s.gateways, s.way, make([]float64, len(s.limits)), s.perSecond, s.seed)
+		f := newFleet(ctx, s.gateways, s.strategy, make([]float64, len(s.limits)), s.perSecond, s.seed)
 		time.Sleep(startUp)
 		for i, limit := range s.limits {
-			f.names(f.servers[i], limit)
+			f.setLimit(f.servers[i], limit)
 		}
-		time.Sleep(s.calm)
+		time.Sleep(s.steady)
 		first := f.servers[0]
-		from := time.Now().Add(f.contact - s.calm)
-		out.used = float64(f.between(first, from, time.Now())) / (s.limits[0] * (s.calm - f.contact).Seconds())
-		fl.play(f)
+		from := time.Now().Add(f.convergence - s.steady)
+		out.used = float64(f.between(first, from, time.Now())) / (s.limits[0] * (s.steady - f.convergence).Seconds())
+		fl.run(f)
 		time.Sleep(faultTime)
 		out.counted, out.all = f.worst(first)
-		out.asks = f.asks()
+		out.requestsPerPermit = f.requestsPerPermit()
 		cancel()
-		time.Sleep(time.Second) // asks under way end
+		time.Sleep(time.Second) // pending permit requests end
 	})
 	return out
 }
 
-// margin is the part of what is allowed that the worst sum leaves.
+// margin is the fraction of the allowed requests that must stay unused in the worst
+// window.
 const margin = 0.1
 
-// The sum over all gateways keeps a limit in each fleet and under each fault, as seen from
-// those that are not disturbed themselves; a gateway that is cut off counts in the last one.
-func TestTheSumOverAllGatewaysKeepsALimit(t *testing.T) {
+// The requests of all gateways together must stay within a limit for each fleet size and
+// fault. Requests of a gateway that is disturbed are excluded, except in the partition of
+// the fleet in two.
+func TestFleetKeepsLimitUnderFaults(t *testing.T) {
 	limits := []float64{0.25, 1, 20}
 	for _, n := range []int{3, 8, 30, 149} {
 		for i, fl := range faults {
 			for j, limit := range limits {
 				if n == 149 && i%len(limits) != j {
-					continue // seconds of work for each
+					continue // each takes seconds
 				}
 				t.Run(fmt.Sprintf("%d gateways, limit %g, %s", n, limit, fl.name), func(t *testing.T) {
 					t.Parallel()
-					s := scene{
-						gateways: n, limits: []float64{limit, 0, 0}, perSecond: max(40, 8*limit), calm: 4 * time.Second,
+					s := scenario{
+						gateways: n, limits: []float64{limit, 0, 0}, perSecond: max(40, 8*limit), steady: 4 * time.Second,
 						seed: uint64(100*n + 10*i + j),
 					}
-					out := s.play(t, fl)
+					out := s.run(t, fl)
 					t.Logf("at most %d in %v, %d with those that were disturbed, %g allowed", out.counted, window, out.all, allowed(limit))
 					if float64(out.counted) > (1-margin)*allowed(limit) {
 						t.Errorf("%d requests of %g", out.counted, allowed(limit))
@@ -143,11 +145,11 @@
 	}
 }
 
-// extremes are the worst that a way showed over several scenes.
+// extremes are the worst results of a strategy over several scenarios.
 type extremes struct {
 	mu       sync.Mutex
-	exceeded float64 // most requests in a window, in parts of what is allowed
-	used     float64 // least part of a limit that was used
+	exceeded float64 // most requests in a window, as a fraction of the allowed number
+	used     float64 // least fraction of a limit that was used
 }
 
 func (e *extremes) note(out outcome, limit float64) {
@@ -157,9 +159,10 @@
 	e.used = min(e.used, out.used)
 }
 
-// Why permits are asked for: with a sender for each server, or even parts, a large fleet uses
-// little of what servers take, or exceeds it. Which scene shows that is chance.
-func TestWaysToKeepALimitCompared(t *testing.T) {
+// Shows why gateways request permits. With one sender for each server, or with even
+// shares, a large fleet uses little of what servers accept, or exceeds it. Which scenario
+// shows that depends on the random seed.
+func TestLimitStrategiesCompared(t *testing.T) {
 	scenes := []struct {
 		name      string
 		limits    []float64
@@ -171,18 +174,18 @@
 		{"all, few a second", []float64{1, 1, 1}, 10},
 	}
 	const large = 30
-	worst := make(map[way]*extremes)
+	worst := make(map[strategy]*extremes)
 	t.Run("scenes", func(t *testing.T) {
-		for _, w := range []way{byPermit, oneSender, evenParts} {
+		for _, w := range []strategy{byPermit, oneSender, evenParts} {
 			worst[w] = &extremes{used: 1}
 			for _, n := range []int{3, 8, large} {
 				for _, c := range scenes {
 					t.Run(fmt.Sprintf("%d gateways, %s, %s", n, c.name, w), func(t *testing.T) {
 						t.Parallel()
-						s := scene{gateways: n, way: w, limits: c.limits, perSecond: c.perSecond, calm: 11 * time.Second, seed: 1}
-						out := s.play(t, faults[0])
-						t.Logf("at most %d in %v of %g, %.2f of the limit used, %.1f asks a permit",
-							out.counted, window, allowed(c.limits[0]), out.used, out.asks)
+						s := scenario{gateways: n, strategy: w, limits: c.limits, perSecond: c.perSecond, steady: 11 * time.Second, seed: 1}
+						out := s.run(t, faults[0])
+						t.Logf("at most %d in %v of %g, %.2f of the limit used, %.1f requests for a permit",
+							out.counted, window, allowed(c.limits[0]), out.used, out.requestsPerPermit)
 						if n == large || w == byPermit {
 							worst[w].note(out, c.limits[0])
 						}
--- a/core/ratelimit/doc.go
+++ b/core/ratelimit/doc.go
@@ -1,40 +1,44 @@
-// Package ratelimit keeps the limits that backend servers name: how many requests a second
-// one takes from all gateways together.
+// Package ratelimit enforces the rate limits that backend servers report: how many
+// requests a second a server accepts from all gateways together.
 //
-// # What is known
+// # Observations
 //
-// A statement is what one incarnation of a server said in answer to a request: a limit, or
-// that there is none. It counts from when that request was sent, so an answer that was long
-// on its way does not undo a later one. Table keeps the latest statement on each server.
-// Gateways tell each other in heartbeats what changed, and in turn all that they know, with
-// its age; the younger one counts. The end of a limit is a statement too, which is kept for
-// longer than any request lasts. A server that starts again is another incarnation, of
-// which nothing was said.
+// An observation is what one incarnation of a server reported in an answer to a request: a
+// limit, or that there is none. Its time is when that request was sent, so a delayed
+// answer does not override a later one. Table keeps the latest observation for each
+// server. Gateways exchange them in heartbeats with their age, recent changes first and
+// all others in turn; the latest observation wins. The end of a limit is an observation
+// too, and is retained for longer than any request lasts. A restarted server is another
+// incarnation, for which there are no observations yet.
 //
-// # Who may send
+// # Permits
 //
-// No gateway can keep a limit alone. With an even part each, and a request at a time at
-// least, n gateways let through 4 L + n requests in four seconds: more than a server takes
-// if L is small, and most of the parts are unused where few requests arrive at each. So
-// permits are asked for: the first active gateway in rendezvous order for the server grants
-// them, one for a request, at the moment of sending, from a token bucket with the server's
-// rate. A gateway that gets none leaves the server out until it is worth asking again.
+// A gateway cannot enforce a limit on its own. If each of n gateways used an even share of
+// the limit L, and sent at least one request at a time, they would let through 4 L + n
+// requests in four seconds. That is too many if L is small, and most of the shares would
+// be unused where each gateway receives few requests. So gateways request permits: the
+// first active gateway in rendezvous order for the server is its grantor. It grants one
+// permit for each request, at the moment of sending, from a token bucket with the server's
+// rate. A gateway that is denied a permit does not select the server until it may try
+// again.
 //
-// An agent through which all requests to its server go keeps the limit exactly with a bucket
-// of its own. Whoever sends to it learns of a refusal when to come back.
+// An agent that handles all requests to its server enforces the limit exactly with a token
+// bucket of its own. It tells a client that it refuses when to retry.
 //
 // # Bounds
 //
-// A grantor's bucket holds the permits of burstTime, leastBurst at least, and starts empty
-// settleTime after the first ask: permits of an earlier grantor have been used by then, and
-// a server that has just named a limit is left alone for a moment. With A for askTimeout, in
-// which a granted permit is used or lost, one grantor lets through
+// A grantor's bucket holds the permits of burstTime, but at least minBurst. It starts
+// empty, settleTime after the first permit request: permits of an earlier grantor have
+// been used by then, and a server that has just reported a limit gets a short backoff. Let
+// A be permitTimeout, within which a granted permit is used or lost. Then one grantor lets
+// through at most
 //
-//	(4 s + A) L + max(leastBurst, burstTime L)
+//	(4 s + A) L + max(minBurst, burstTime L)
 //
-// requests in four seconds. While gateways differ for d about who grants, beyond settleTime,
-// it is at most d L + max(leastBurst, burstTime L) more. A gateway that fell silent without a word may
-// be cut off from the others and grant permits to itself, so its part of the rate is left
-// to it until it is forgotten: the sum over all parts of a fleet that is cut in pieces is the
-// limit. A limit below leastRate is exceeded: only an answer tells that it has ended.
+// requests in four seconds. If gateways disagree about the grantor for a time d beyond
+// settleTime, at most d L + max(minBurst, burstTime L) more requests pass. A gateway that
+// fell silent without announcing that it leaves may be cut off from the others and grant
+// permits to itself. Until it is forgotten, its share of the rate is therefore not used by
+// the others: if the fleet is partitioned, the rates of all parts add up to the limit. A
+// limit below minRate is exceeded, because only an answer tells that the limit has ended.
 package ratelimit
--- a/core/ratelimit/fleet_load_test.go
+++ b/core/ratelimit/fleet_load_test.go
@@ -9,8 +9,8 @@
 	"baywall.example/core/wait"
 )
 
-// press sends requests to the gateways.
-func (f *simFleet) press() {
+// generateLoad sends requests to the gateways until the context ends.
+func (f *simFleet) generateLoad() {
 	for {
 		f.mu.Lock()
 		pause := time.Duration(f.rnd.ExpFloat64() / f.perSecond * float64(time.Second))
@@ -26,16 +26,16 @@
 	}
 }
 
-// request sends one request to a server that may take it.
+// request sends one request to a server that may be sent one.
 func (g *simGateway) request() {
-	g.thaw()
+	g.waitWhileFrozen()
 	f := g.fleet
 	for range 4 {
 		server := g.pick()
 		if server == nil || !wait.Sleep(f.ctx, connectTime) {
 			break
 		}
-		g.thaw()
+		g.waitWhileFrozen()
 		if !g.maySend(server) {
 			continue
 		}
@@ -50,7 +50,7 @@
 	f.refused++
 }
 
-// pick draws one of the servers that are open.
+// pick returns a random server among those at which a request may be tried.
 func (g *simGateway) pick() *simServer {
 	gate := get(g.fleet, &g.gate)
 	var open []*simServer
@@ -70,7 +70,7 @@
 
 func (g *simGateway) maySend(s *simServer) bool {
 	f := g.fleet
-	if f.way == byPermit {
+	if f.strategy == byPermit {
 		gate := get(f, &g.gate)
 		return gate.Take(f.ctx, s.key) == nil
 	}
@@ -83,7 +83,7 @@
 	defer f.mu.Unlock()
 	perSecond := known.rate()
 	switch {
-	case f.way == evenParts:
+	case f.strategy == evenParts:
 		perSecond /= float64(g.table.Members())
 	case g.first(s.key) != g.name:
 		return false
@@ -97,7 +97,7 @@
 	return bucket.AllowN(clock.Now(), 1)
 }
 
-// send sends a request and takes what its answer says.
+// send sends a request and records what its answer reports.
 func (g *simGateway) send(s *simServer) {
 	f := g.fleet
 	sent := clock.Now()
@@ -106,41 +106,41 @@
 	f.mu.Lock()
 	f.sent++
 	now := clock.Now()
-	if s.limit > 0 && s.named.IsZero() {
-		s.named = now
+	if s.limit > 0 && s.reportedAt.IsZero() {
+		s.reportedAt = now
 	}
-	s.got = append(s.got, arrival{at: now, excused: now.Sub(g.disturbed) < f.contact || g.frozen})
-	said := Said{Kind: SaidNone}
+	s.got = append(s.got, arrival{at: now, excluded: now.Sub(g.disturbed) < f.convergence || g.frozen})
+	reported := Said{Kind: SaidNone}
 	if s.limit > 0 {
-		said = Said{Kind: SaidLimit, Limit: s.limit}
+		reported = Said{Kind: SaidLimit, Limit: s.limit}
 	}
 	f.mu.Unlock()
 	wait.Sleep(f.ctx, answerTime+hop)
-	g.thaw()
+	g.waitWhileFrozen()
 	if get(f, &g.began) == began {
-		limits.Heard(s.key, said, sent, clock.Now())
+		limits.Heard(s.key, reported, sent, clock.Now())
 	}
 }
 
-// window is the time over which requests are counted.
+// window is the length of the interval in which requests are counted.
 const window = 4 * time.Second
 
-// allowed is how many requests a server with a limit may get in a window.
+// allowed is the number of requests that a server with a limit may receive in a window.
 func allowed(limit float64) float64 { return 1.5*limit*window.Seconds() + 5 }
 
-// worst returns the most requests that a server got in a window from gateways that were not
-// disturbed, since its limit was known for long enough; and from all.
+// worst returns the most requests that a server received in any window, once its limit had
+// been known for long enough: from gateways that were not disturbed, and from all.
 func (f *simFleet) worst(s *simServer) (counted, all int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, last := range s.got {
-		if s.named.IsZero() || last.at.Sub(s.named) < f.contact {
+		if s.reportedAt.IsZero() || last.at.Sub(s.reportedAt) < f.convergence {
 			continue
 		}
 		n, m := 0, 0
-		for j := i; j >= 0 && last.at.Sub(s.got[j].at) < window && s.got[j].at.Sub(s.named) >= f.from; j-- {
+		for j := i; j >= 0 && last.at.Sub(s.got[j].at) < window && s.got[j].at.Sub(s.reportedAt) >= f.countFrom; j-- {
 			m++
-			if !s.got[j].excused {
+			if !s.got[j].excluded {
 				n++
 			}
 		}
@@ -149,7 +149,7 @@
 	return counted, all
 }
 
-// between returns how many requests a server got in a time.
+// between returns the number of requests that a server received in an interval.
 func (f *simFleet) between(s *simServer, from, to time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -162,16 +162,16 @@
 	return n
 }
 
-// names changes the limit that a server names.
-func (f *simFleet) names(s *simServer, limit float64) {
+// setLimit changes the limit that a server reports.
+func (f *simFleet) setLimit(s *simServer, limit float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.limit = limit
-	s.named = time.Time{}
+	s.reportedAt = time.Time{}
 }
 
-// asks returns how often permits were asked for, for each that was granted.
-func (f *simFleet) asks() float64 {
+// requestsPerPermit returns the number of permit requests for each permit granted.
+func (f *simFleet) requestsPerPermit() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var sum Counts
--- a/core/ratelimit/fleet_test.go
+++ b/core/ratelimit/fleet_test.go
@@ -19,48 +19,48 @@
 	"baywall.example/core/wire"
 )
 
-// A fleet of gateways before servers that name limits, in simulated time. Heartbeats, tables,
-// gates and grantors are the product's own.
+// The tests simulate a fleet of gateways and servers that report limits, in simulated
+// time. Heartbeats, tables, gates and grantors are the production code.
 
 const (
-	// hop is the time of a message between two VMs.
+	// hop is the transmission time of a message between two VMs.
 	hop = 2 * time.Millisecond
-	// connectTime is the time until a connection stands.
+	// connectTime is the time to set up a connection.
 	connectTime = 3 * time.Millisecond
-	// answerTime is the time in which a server answers.
+	// answerTime is the time that a server takes for an answer.
 	answerTime = 30 * time.Millisecond
-	// beatTick is how often due heartbeats are looked for.
+	// beatTick is the interval at which a gateway looks for due heartbeats.
 	beatTick = 20 * time.Millisecond
 	// smallFleet is the largest fleet in which all gateways are active.
 	smallFleet = 30
 )
 
-// way decides whether a gateway may send to a limited server.
-type way int
+// strategy decides whether a gateway may send to a server with a limit.
+type strategy int
 
 const (
-	byPermit  way = iota // the product's
-	oneSender            // the first in rendezvous order sends for all, the others do not
-	evenParts            // each has an even part of the limit, and a request at a time at least
+	byPermit  strategy = iota // as in production
+	oneSender                 // only the first gateway in rendezvous order sends
+	evenParts                 // each gateway has an even share of the limit, and sends at least one request at a time
 )
 
-func (w way) String() string { return [...]string{"permits", "one sender", "even parts"}[w] }
+func (w strategy) String() string { return [...]string{"permits", "one sender", "even parts"}[w] }
 
-// simServer is a backend server.
+// simServer is a simulated backend server.
 type simServer struct {
-	key   Key
-	limit float64   // it names now, 0 = none
-	named time.Time // it did so first, since it named none
-	got   []arrival
+	key        Key
+	limit      float64   // currently reported, 0 = none
+	reportedAt time.Time // when the current limit was first reported; zero = not yet
+	got        []arrival
 }
 
-// arrival is a request at a server.
+// arrival is a request that a server received.
 type arrival struct {
-	at      time.Time
-	excused bool // its gateway was disturbed within the time before
+	at       time.Time
+	excluded bool // its gateway was disturbed recently
 }
 
-// simGateway is one gateway.
+// simGateway is one simulated gateway.
 type simGateway struct {
 	fleet   *simFleet
 	name    string
@@ -68,7 +68,7 @@
 	zone    int
 	active  bool
 
-	// under the fleet's lock
+	// The fields below are guarded by the fleet's lock.
 	table     *cluster.Table
 	limits    *Table
 	gate      *Gate
@@ -76,32 +76,32 @@
 	began     vm.Incarnation
 	down      bool
 	frozen    bool
-	disturbed time.Time // until when it was, at the latest
+	disturbed time.Time // until when it was disturbed
 	queued    []*wire.Heartbeat
-	lossy     float64
-	side      int // gateways on two sides of a cut do not reach each other
+	lossRate  float64
+	side      int // gateways on different sides of a partition do not reach each other
 }
 
-// simFleet is the fleet.
+// simFleet is a simulated fleet.
 type simFleet struct {
-	mu        sync.Mutex
-	ctx       context.Context
-	rnd       *rand.Rand
-	way       way
-	gateways  []*simGateway
-	at        map[string]*simGateway
-	servers   []*simServer
-	sent      int
-	refused   int
-	contact   time.Duration
-	from      time.Duration // after a limit was named, requests are counted
-	perSecond float64
+	mu          sync.Mutex
+	ctx         context.Context
+	rnd         *rand.Rand
+	strategy    strategy
+	gateways    []*simGateway
+	at          map[string]*simGateway
+	servers     []*simServer
+	sent        int
+	refused     int
+	convergence time.Duration
+	countFrom   time.Duration // requests are counted from this time after a limit was reported
+	perSecond   float64
 }
 
-func newFleet(ctx context.Context, n int, w way, limits []float64, perSecond float64, seed uint64) *simFleet {
+func newFleet(ctx context.Context, n int, w strategy, limits []float64, perSecond float64, seed uint64) *simFleet {
 	f := &simFleet{
-		ctx: ctx, rnd: rand.New(rand.NewPCG(seed, 7)), way: w, at: make(map[string]*simGateway),
-		contact: 3 * time.Second, from: 500 * time.Millisecond, perSecond: perSecond,
+		ctx: ctx, rnd: rand.New(rand.NewPCG(seed, 7)), strategy: w, at: make(map[string]*simGateway),
+		convergence: 3 * time.Second, countFrom: 500 * time.Millisecond, perSecond: perSecond,
 	}
 	for i, limit := range limits {
 		f.servers = append(f.servers, &simServer{key: Key(rendezvous.Hash(fmt.Sprintf("s%d-%d", i, seed))), limit: limit})
@@ -109,7 +109,7 @@
 	for i := range n {
 		f.add(n <= smallFleet || i%10 == 0)
 	}
-	go f.press()
+	go f.generateLoad()
 	return f
 }
 
@@ -128,7 +128,7 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/200, i%200) }
 
-// start starts the gateway's process.
+// start starts the process of the gateway.
 func (g *simGateway) start() {
 	f := g.fleet
 	f.mu.Lock()
@@ -143,14 +143,14 @@
 	g.queued = nil
 }
 
-// get reads what the fleet's lock guards.
+// get reads a value that the fleet's lock guards.
 func get[T any](f *simFleet, v *T) T {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return *v
 }
 
-// draw returns a number below n.
+// draw returns a random number below n.
 func (f *simFleet) draw(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,8 +163,8 @@
 	return g.down || g.frozen
 }
 
-// thaw waits as long as the gateway is frozen.
-func (g *simGateway) thaw() {
+// waitWhileFrozen returns when the gateway is not frozen.
+func (g *simGateway) waitWhileFrozen() {
 	for get(g.fleet, &g.frozen) && wait.Sleep(g.fleet.ctx, 5*time.Millisecond) {
 	}
 }
@@ -175,7 +175,7 @@
 		if g.stopped() {
 			continue
 		}
-		g.beat()
+		g.sendHeartbeats()
 		if n%10 == 0 {
 			gate := get(g.fleet, &g.gate)
 			gate.Expire(clock.Now())
@@ -183,13 +183,13 @@
 	}
 }
 
-func (g *simGateway) beat() {
+func (g *simGateway) sendHeartbeats() {
 	f := g.fleet
 	limits := get(f, &g.limits)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, hb := range g.queued {
-		g.hear(hb)
+		g.handleHeartbeat(hb)
 	}
 	g.queued = nil
 	self := cluster.Self{
@@ -199,7 +199,7 @@
 	out, _ := g.table.Tick(self, f.rnd, clock.Now())
 	for _, d := range out {
 		to := f.at[d.Address]
-		if to == nil || to.down || to.side != g.side || f.rnd.Float64() < max(g.lossy, to.lossy) {
+		if to == nil || to.down || to.side != g.side || f.rnd.Float64() < max(g.lossRate, to.lossRate) {
 			continue
 		}
 		time.AfterFunc(hop, func() { to.receive(d.Heartbeat) })
@@ -212,19 +212,19 @@
 	switch {
 	case g.down:
 	case g.frozen:
-		g.queued = append(g.queued, hb) // in the socket's buffer
+		g.queued = append(g.queued, hb) // waits in the socket buffer
 	default:
-		g.hear(hb)
+		g.handleHeartbeat(hb)
 	}
 }
 
-// hear takes a heartbeat, under the fleet's lock.
-func (g *simGateway) hear(hb *wire.Heartbeat) {
+// handleHeartbeat processes a heartbeat. The caller holds the fleet's lock.
+func (g *simGateway) handleHeartbeat(hb *wire.Heartbeat) {
 	g.limits.Hear(vm.ID(hb.GetVm()), hb.GetLimits(), clock.Now())
 	g.table.Receive(hb, clock.Now())
 }
 
-// Grantor implements Network as a gateway does.
+// Grantor implements Network in the way that a gateway does.
 func (g *simGateway) Grantor(server Key) (id vm.ID, own, known bool) {
 	g.fleet.mu.Lock()
 	defer g.fleet.mu.Unlock()
@@ -232,7 +232,8 @@
 	return vm.ID(first), first == g.name, first != ""
 }
 
-// first returns the first active gateway for a server, under the fleet's lock.
+// first returns the first active gateway in rendezvous order for a server. The caller
+// holds the fleet's lock.
 func (g *simGateway) first(server Key) string {
 	best, weight := "", uint64(0)
 	consider := func(name string) {
@@ -263,7 +264,7 @@
 // Ask implements Network.
 func (g *simGateway) Ask(ctx context.Context, grantor vm.ID, s Statement) (Grant, error) {
 	f := g.fleet
-	asked := s.AskToWire(clock.Now())
+	encoded := s.AskToWire(clock.Now())
 	if !wait.Sleep(ctx, hop) {
 		return Grant{}, errSilent
 	}
@@ -280,8 +281,8 @@
 		<-ctx.Done()
 		return Grant{}, errSilent
 	}
-	to.thaw() // what was asked waits in its socket
-	statement, _ := StatementFromWire(asked.GetLimit(), clock.Now())
+	to.waitWhileFrozen() // the request waits in its socket buffer
+	statement, _ := StatementFromWire(encoded.GetLimit(), clock.Now())
 	gate := get(f, &to.gate)
 	grant := GrantFromWire(gate.Grant(statement).ToWire())
 	if !wait.Sleep(ctx, hop) {
@@ -290,14 +291,14 @@
 	return grant, nil
 }
 
-// disturb notes that a gateway is disturbed from now on for a time.
+// disturb records that a gateway is disturbed for a time from now.
 func (g *simGateway) disturb(d time.Duration) {
 	g.fleet.mu.Lock()
 	defer g.fleet.mu.Unlock()
 	g.disturbed = clock.Now().Add(d)
 }
 
-// freeze stops a gateway for a time.
+// freeze freezes a gateway for a time.
 func (g *simGateway) freeze(d time.Duration) {
 	g.disturb(d)
 	g.fleet.mu.Lock()
@@ -309,7 +310,7 @@
 	g.fleet.mu.Unlock()
 }
 
-// restart ends a gateway and starts it again after a time.
+// restart stops a gateway and starts it again after a time.
 func (g *simGateway) restart(d time.Duration) {
 	g.disturb(d)
 	g.fleet.mu.Lock()
@@ -320,8 +321,8 @@
 	}
 }
 
-// cut cuts gateways off from the others for a time: all reach the servers.
-func (f *simFleet) cut(d time.Duration, side []*simGateway, excused bool) {
+// cut partitions gateways from the others for a time. All of them still reach the servers.
+func (f *simFleet) cut(d time.Duration, side []*simGateway, excluded bool) {
 	set := func(to int) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -329,7 +330,7 @@
 			g.side = to
 		}
 	}
-	if excused {
+	if excluded {
 		for _, g := range side {
 			g.disturb(d)
 		}
@@ -339,7 +340,8 @@
 	set(0)
 }
 
-// grantor returns the gateway that grants for a server, as most see it.
+// grantor returns the gateway that grants permits for a server in the view of most
+// gateways.
 func (f *simFleet) grantor(s *simServer) *simGateway {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/core/ratelimit/gate.go
+++ b/core/ratelimit/gate.go
@@ -12,31 +12,33 @@
 	"baywall.example/core/vm"
 )
 
-// ErrClosed means that a backend server is at its limit: nothing may be sent to it now.
+// ErrClosed means that a backend server is at its limit and must not be sent a request
+// now.
 var ErrClosed = eris.New("ratelimit: the backend server is at its limit")
 
 const (
-	// askTimeout bounds an ask for a permit: a gateway answers within a few milliseconds, and
-	// the request can still be sent elsewhere.
-	askTimeout = 150 * time.Millisecond
-	// silentPause is for how long a server is left out after the gateway that grants did
-	// not answer, or none is known.
-	silentPause = 250 * time.Millisecond
+	// permitTimeout bounds a permit request. A gateway answers within a few milliseconds,
+	// and the client request can still be sent to another server.
+	permitTimeout = 150 * time.Millisecond
+	// unansweredBackoff is how long a server is not selected after its grantor did not
+	// answer, or if no grantor is known.
+	unansweredBackoff = 250 * time.Millisecond
 )
 
-// Network is what a Gate needs of its process.
+// Network is what a Gate needs from its process.
 type Network interface {
-	// Grantor returns the gateway that grants permits for a server as this process sees
-	// it, and whether that is this one; false if none is known.
+	// Grantor returns the gateway that grants permits for a server in the view of this
+	// process, and whether that is this process. known is false if there is none.
 	Grantor(server Key) (id vm.ID, own, known bool)
-	// Part returns the Part of Fleet.
+	// Part returns the fraction of the possibly active gateways that this process reaches,
+	// itself included, see FleetView.
 	Part() float64
-	// Ask asks another gateway for a permit.
+	// Ask requests a permit from another gateway.
 	Ask(ctx context.Context, grantor vm.ID, s Statement) (Grant, error)
 }
 
-// Gate is what each request to a backend server passes at the moment of sending. It is safe
-// for concurrent use.
+// Gate admits each request to a backend server at the moment of sending. It is safe for
+// concurrent use.
 type Gate struct {
 	table *Table
 	net   Network
@@ -45,34 +47,34 @@
 	grantor *Grantor
 	servers map[Key]*serverState
 
-	got, lacked, unanswered atomic.Uint64
+	granted, denied, unanswered atomic.Uint64
 }
 
-// serverState is what a gate knows of one limited server.
+// serverState is the state of a gate for one server with a limit.
 type serverState struct {
-	closed time.Time     // nothing is asked for before
-	asking chan struct{} // closed when the ask under way has ended, nil = none is
+	closedUntil time.Time     // no permit is requested before this time
+	pending     chan struct{} // closed when the pending permit request has ended, nil = none is pending
 }
 
-// Counts are how often permits were asked for.
+// Counts are the numbers of permit requests by result.
 type Counts struct {
-	Got        uint64 // used at once, but where the caller left meanwhile
-	Lacked     uint64 // there was none
-	Unanswered uint64 // the gateway that grants did not answer, or none was known
+	Got        uint64 // granted, and used at once unless the caller left in the meantime
+	Lacked     uint64 // denied
+	Unanswered uint64 // the grantor did not answer, or none was known
 }
 
-// NewGate returns the gate for the limits in a table.
+// NewGate returns a gate that enforces the limits in a table.
 func NewGate(table *Table, net Network) *Gate {
 	return &Gate{table: table, net: net, grantor: NewGrantor(), servers: make(map[Key]*serverState)}
 }
 
-// Counts returns how often permits were asked for.
+// Counts returns the numbers of permit requests by result.
 func (g *Gate) Counts() Counts {
-	return Counts{Got: g.got.Load(), Lacked: g.lacked.Load(), Unanswered: g.unanswered.Load()}
+	return Counts{Got: g.granted.Load(), Lacked: g.denied.Load(), Unanswered: g.unanswered.Load()}
 }
 
-// Opens returns when it is worth trying to send to a server that names a limit, and the
-// limit; false if it names none.
+// Opens returns when a request may next be tried at a server with a limit, and the limit.
+// limited is false if the server has none.
 func (g *Gate) Opens(server Key) (at time.Time, limit Known, limited bool) {
 	limit, limited = g.table.Get(server)
 	if !limited {
@@ -81,23 +83,23 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if s := g.servers[server]; s != nil {
-		at = s.closed
+		at = s.closedUntil
 	}
 	return at, limit, true
 }
 
-// Take takes the permit to send one request to a server now. It returns ErrClosed if there
-// is none, and nil for a server without a limit.
+// Take acquires the permit to send one request to a server now. It returns ErrClosed if no
+// permit is available, and nil for a server without a limit.
 func (g *Gate) Take(ctx context.Context, server Key) error {
 	for {
 		limit, limited := g.table.Get(server)
 		if !limited {
 			return nil
 		}
-		ours, wait := g.begin(server)
+		started, wait := g.startRequest(server)
 		switch {
-		case ours != nil:
-			return g.ask(ctx, ours, limit.Statement)
+		case started != nil:
+			return g.requestPermit(ctx, started, limit.Statement)
 		case wait == nil:
 			return ErrClosed
 		}
@@ -109,9 +111,10 @@
 	}
 }
 
-// begin begins an ask for a server, or returns a channel to wait with for the one that is
-// under way; neither if it is not worth asking yet.
-func (g *Gate) begin(server Key) (ours *serverState, wait <-chan struct{}) {
+// startRequest starts a permit request for a server and returns its state. If another
+// request is pending, it returns the channel that is closed when that one has ended. If it
+// is too early for a request, it returns neither.
+func (g *Gate) startRequest(server Key) (started *serverState, wait <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.servers[server]
@@ -120,32 +123,32 @@
 		g.servers[server] = s
 	}
 	switch {
-	case s.asking != nil:
-		return nil, s.asking
-	case clock.Now().Before(s.closed):
+	case s.pending != nil:
+		return nil, s.pending
+	case clock.Now().Before(s.closedUntil):
 		return nil, nil
 	}
-	s.asking = make(chan struct{})
+	s.pending = make(chan struct{})
 	return s, nil
 }
 
-// ask asks for one permit.
-func (g *Gate) ask(ctx context.Context, s *serverState, limit Statement) error {
-	grant, answered := g.askGrantor(ctx, limit)
+// requestPermit requests one permit.
+func (g *Gate) requestPermit(ctx context.Context, s *serverState, limit Statement) error {
+	grant, answered := g.requestFromGrantor(ctx, limit)
 	switch {
 	case !answered:
 		g.unanswered.Add(1)
 	case grant.Granted:
-		g.got.Add(1)
+		g.granted.Add(1)
 	default:
-		g.lacked.Add(1)
+		g.denied.Add(1)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	close(s.asking)
-	s.asking = nil
+	close(s.pending)
+	s.pending = nil
 	if !grant.Granted {
-		s.closed = clock.Now().Add(grant.Wait)
+		s.closedUntil = clock.Now().Add(grant.Wait)
 	}
 	if !grant.Granted || ctx.Err() != nil {
 		return ErrClosed
@@ -153,46 +156,47 @@
 	return nil
 }
 
-func (g *Gate) askGrantor(ctx context.Context, limit Statement) (grant Grant, answered bool) {
+func (g *Gate) requestFromGrantor(ctx context.Context, limit Statement) (grant Grant, answered bool) {
 	id, own, known := g.net.Grantor(limit.Server)
 	if !known {
-		return Grant{Wait: silentPause}, false
+		return Grant{Wait: unansweredBackoff}, false
 	}
 	if own {
 		return g.Grant(limit), true
 	}
-	// A caller that leaves must not end an exchange on a link that others use.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTimeout)
+	// Other callers share the exchange, so it must not end when this caller leaves.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), permitTimeout)
 	defer cancel()
 	grant, err := g.net.Ask(ctx, id, limit)
 	if err != nil {
-		return Grant{Wait: silentPause}, false
+		return Grant{Wait: unansweredBackoff}, false
 	}
 	return grant, true
 }
 
-// Grant answers an ask for a permit, by what this process knows of the limit if that is
-// later.
-func (g *Gate) Grant(asked Statement) Grant {
-	limit, ok := g.table.Latest(asked.Server)
-	if !ok || asked.supersedes(limit.Statement) {
-		limit.Statement = asked
+// Grant answers a permit request. It uses this process's own observation of the limit if
+// that is newer.
+func (g *Gate) Grant(requested Statement) Grant {
+	limit, ok := g.table.Latest(requested.Server)
+	if !ok || requested.supersedes(limit.Statement) {
+		limit.Statement = requested
 	}
 	if !limit.Limited {
-		return Grant{Granted: true} // the one that asks has not heard yet that it ended
+		return Grant{Granted: true} // the requester does not know yet that the limit ended
 	}
-	_, own, known := g.net.Grantor(asked.Server)
+	_, own, known := g.net.Grantor(requested.Server)
 	part := g.net.Part()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.grantor.Handle(limit, Fleet{First: known && own, Part: part}, clock.Now())
+	return g.grantor.Handle(limit, FleetView{IsGrantor: known && own, Part: part}, clock.Now())
 }
 
-// Expire forgets servers that name no limit any more, and for which others grant.
+// Expire removes the state of servers that no longer have a limit, and the buckets of
+// servers for which another gateway is the grantor.
 func (g *Gate) Expire(now time.Time) {
 	g.mu.Lock()
 	for server, s := range g.servers {
-		if _, limited := g.table.Get(server); !limited && s.asking == nil {
+		if _, limited := g.table.Get(server); !limited && s.pending == nil {
 			delete(g.servers, server)
 		}
 	}
--- a/core/ratelimit/gate_test.go
+++ b/core/ratelimit/gate_test.go
@@ -14,26 +14,26 @@
 	"baywall.example/core/vm"
 )
 
-// fakeNetwork is a network in which another gateway grants.
+// fakeNetwork is a Network in which another gateway is the grantor by default.
 type fakeNetwork struct {
-	own, unknown bool
-	ask          func(ctx context.Context) (Grant, error)
+	own, unknown  bool
+	requestPermit func(ctx context.Context) (Grant, error)
 }
 
 func (n *fakeNetwork) Grantor(Key) (vm.ID, bool, bool) { return "g", n.own, !n.unknown }
 func (n *fakeNetwork) Part() float64                   { return 1 }
 func (n *fakeNetwork) Ask(ctx context.Context, _ vm.ID, _ Statement) (Grant, error) {
-	return n.ask(ctx)
+	return n.requestPermit(ctx)
 }
 
 func newTestGate(n *fakeNetwork, limit float64) *Gate {
 	table := newTestTable()
 	now := clock.Now()
-	table.Heard(1, named(limit), now, now)
+	table.Heard(1, limitedTo(limit), now, now)
 	return NewGate(table, n)
 }
 
-func TestAGateWithoutALimitIsOpen(t *testing.T) {
+func TestGateWithoutLimitIsOpen(t *testing.T) {
 	is := is.New(t)
 	g := newTestGate(&fakeNetwork{}, 1)
 	_, _, limited := g.Opens(2)
@@ -42,36 +42,37 @@
 	is.Equal(g.Counts(), Counts{})
 }
 
-func TestAPermitIsAskedForEachRequest(t *testing.T) {
+func TestEachRequestNeedsPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		asks := 0
-		net := &fakeNetwork{ask: func(context.Context) (Grant, error) {
-			asks++
-			return Grant{Granted: asks < 3, Wait: time.Second}, nil
+		requests := 0
+		net := &fakeNetwork{requestPermit: func(context.Context) (Grant, error) {
+			requests++
+			return Grant{Granted: requests < 3, Wait: time.Second}, nil
 		}}
 		g := newTestGate(net, 1)
 		is.NoErr(g.Take(t.Context(), 1))
 		is.NoErr(g.Take(t.Context(), 1))
 		is.True(errors.Is(g.Take(t.Context(), 1), ErrClosed))
-		is.True(errors.Is(g.Take(t.Context(), 1), ErrClosed)) // not asked again
-		is.Equal(asks, 3)
+		is.True(errors.Is(g.Take(t.Context(), 1), ErrClosed)) // no further permit request
+		is.Equal(requests, 3)
 		at, limit, limited := g.Opens(1)
 		is.True(limited)
 		is.Equal(limit.Limit, 1.0)
 		is.Equal(at.Sub(clock.Now()), time.Second)
 		time.Sleep(time.Second)
 		is.True(errors.Is(g.Take(t.Context(), 1), ErrClosed))
-		is.Equal(asks, 4)
+		is.Equal(requests, 4)
 		is.Equal(g.Counts(), Counts{Got: 2, Lacked: 2})
 	})
 }
 
-// A gateway that does not answer costs a request askTimeout at most, and then nothing.
-func TestASilentGrantorIsNotWaitedFor(t *testing.T) {
+// A grantor that does not answer must delay requests by one permitTimeout at most. Until
+// the backoff has ended, further requests must not wait.
+func TestUnresponsiveGrantorCostsOneTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		net := &fakeNetwork{ask: func(ctx context.Context) (Grant, error) {
+		net := &fakeNetwork{requestPermit: func(ctx context.Context) (Grant, error) {
 			<-ctx.Done()
 			return Grant{}, ctx.Err()
 		}}
@@ -82,23 +83,24 @@
 			wg.Go(func() { is.True(errors.Is(g.Take(t.Context(), 1), ErrClosed)) })
 		}
 		wg.Wait()
-		is.Equal(time.Since(began), askTimeout)
+		is.Equal(time.Since(began), permitTimeout)
 		is.True(errors.Is(g.Take(t.Context(), 1), ErrClosed))
-		is.Equal(time.Since(began), askTimeout)
+		is.Equal(time.Since(began), permitTimeout)
 		is.Equal(g.Counts(), Counts{Unanswered: 1})
 		net.unknown = true
-		time.Sleep(silentPause)
-		is.True(errors.Is(g.Take(t.Context(), 1), ErrClosed)) // nobody grants
+		time.Sleep(unansweredBackoff)
+		is.True(errors.Is(g.Take(t.Context(), 1), ErrClosed)) // no grantor is known
 	})
 }
 
-// What the one that grants knows of a limit counts if it is later.
-func TestAGrantorKnowsBetter(t *testing.T) {
+// The grantor's own observation of a limit counts if it is newer than that of the
+// requester.
+func TestGrantorUsesItsNewerObservation(t *testing.T) {
 	is := is.New(t)
 	g := newTestGate(&fakeNetwork{own: true}, 1)
 	now := clock.Now()
-	is.True(!g.Grant(Statement{Server: 1, Limit: 1, Limited: true, At: now.Add(-time.Second)}).Granted) // it settles
-	g.table.Heard(1, ended, now.Add(time.Second), now)
+	is.True(!g.Grant(Statement{Server: 1, Limit: 1, Limited: true, At: now.Add(-time.Second)}).Granted) // before settleTime has passed
+	g.table.Heard(1, unlimited, now.Add(time.Second), now)
 	is.True(g.Grant(Statement{Server: 1, Limit: 1, Limited: true, At: now}).Granted)
 	g = newTestGate(&fakeNetwork{own: false}, 1)
 	is.True(g.Grant(Statement{Server: 1, Limit: 1, Limited: true, At: now}).Elsewhere)
@@ -130,7 +132,7 @@
 	table := newTestTable()
 	now := clock.Now()
 	for i := range 30 {
-		table.Heard(Key(i), named(1), now, now)
+		table.Heard(Key(i), limitedTo(1), now, now)
 	}
 	now = now.Add(2 * freshTime)
 	for b.Loop() {
@@ -138,22 +140,22 @@
 	}
 }
 
-// A caller that leaves while a permit is asked for does not end the exchange, which others
-// have in common; nothing is sent for it.
-func TestACallerThatLeavesDoesNotEndTheAsk(t *testing.T) {
+// A caller that leaves during a permit request must not cancel the exchange, which other
+// callers share. Nothing is sent for that caller.
+func TestCallerThatLeavesDoesNotCancelPermitRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		net := &fakeNetwork{ask: func(ctx context.Context) (Grant, error) {
-			time.Sleep(askTimeout / 2)
+		net := &fakeNetwork{requestPermit: func(ctx context.Context) (Grant, error) {
+			time.Sleep(permitTimeout / 2)
 			return Grant{Granted: true}, ctx.Err()
 		}}
 		g := newTestGate(net, 1)
 		ctx, leave := context.WithCancel(t.Context())
-		time.AfterFunc(askTimeout/4, leave)
+		time.AfterFunc(permitTimeout/4, leave)
 		is.True(errors.Is(g.Take(ctx, 1), ErrClosed))
 		is.Equal(g.Counts(), Counts{Got: 1}) // it was answered
 		at, _, _ := g.Opens(1)
-		is.True(!at.After(clock.Now())) // others may ask at once
+		is.True(!at.After(clock.Now())) // others may request a permit at once
 		is.NoErr(g.Take(t.Context(), 1))
 	})
 }
--- a/core/ratelimit/grantor.go
+++ b/core/ratelimit/grantor.go
@@ -9,44 +9,47 @@
 )
 
 const (
-	// settleTime is how long a process grants nothing after it was asked first: before,
-	// another one may have granted permits, or nobody knew of the limit.
+	// settleTime is how long a process grants nothing after its first permit request for a
+	// server. Before that request, another process may have granted permits, or no process
+	// may have known of the limit.
 	settleTime = time.Second
-	// restPermits is the number of permits that are lost when a server names a limit for the
-	// first time, in longestRest at most: it got more than it can take before.
-	restPermits = 2
-	longestRest = 2 * time.Second
-	// burstTime is the time of which a bucket holds the permits that nobody wanted, leastBurst
-	// how many it holds at least: those for whom one is there come a little later.
-	burstTime  = 500 * time.Millisecond
-	leastBurst = 2
-	// idleTime is after how long without an ask a bucket is dropped.
-	idleTime = 30 * time.Second
-	// elsewherePause is when it is worth asking again after the process that was asked does
-	// not grant: some heartbeats later both agree about who does.
-	elsewherePause = 100 * time.Millisecond
-	// shortestWait is the least time after which it is worth asking again.
-	shortestWait = 5 * time.Millisecond
-	// mostTurns bounds how many permits later an ask is put that comes in vain, one after
-	// the other: those before it may be withdrawn.
-	mostTurns = 2
+	// initialBackoffPermits is the number of permits withheld when a server reports a
+	// limit for the first time, for at most maxInitialBackoff: before that it received
+	// more requests than it can process.
+	initialBackoffPermits = 2
+	maxInitialBackoff     = 2 * time.Second
+	// burstTime is the time for which a bucket accumulates unused permits. minBurst is the
+	// least number of permits that it holds, because requesters may come a little after a
+	// permit has become available.
+	burstTime = 500 * time.Millisecond
+	minBurst  = 2
+	// idleTimeout is the time without a permit request after which a bucket is removed.
+	idleTimeout = 30 * time.Second
+	// notGrantorBackoff is when to try again after the process that was asked turned out
+	// not to be the grantor. Some heartbeats later both processes agree about the grantor.
+	notGrantorBackoff = 100 * time.Millisecond
+	// minWait is the minimum time after which a denied request may be tried again.
+	minWait = 5 * time.Millisecond
+	// maxSlots limits the number of denied requests that are given consecutive slots, one
+	// permit apart: requests in earlier slots may be withdrawn.
+	maxSlots = 2
 )
 
-// Fleet is how a process sees the gateways when it is asked for a permit.
-type Fleet struct {
-	// First tells that it is the one that grants for the server.
-	First bool
-	// Part is the part of the active gateways that it reaches, itself included, of all that
-	// may be active: over 0, at most 1.
+// FleetView is how a process sees the gateways when it answers a permit request.
+type FleetView struct {
+	// IsGrantor reports whether this process is the grantor for the server.
+	IsGrantor bool
+	// Part is the fraction of the active gateways that this process reaches, itself
+	// included, of all that may be active: above 0, at most 1.
 	Part float64
 }
 
-// Grant is the answer to an ask for a permit.
+// Grant is the reply to a permit request.
 type Grant struct {
 	Granted bool
-	// Wait is the time after which it is worth asking again; 0 if one is granted.
+	// Wait is the time after which to try again; 0 if a permit is granted.
 	Wait time.Duration
-	// Elsewhere tells that the process asked is not the one that grants.
+	// Elsewhere reports that another process is the grantor.
 	Elsewhere bool
 }
 
@@ -54,28 +57,28 @@
 // concurrent use.
 type Grantor struct{ buckets map[Key]*bucket }
 
-// bucket is what a grantor has for one server.
+// bucket holds the permits for one server.
 type bucket struct {
-	tokens *rate.Limiter
-	opens  time.Time // it grants nothing before
-	turn   time.Time // when the latest ask that came in vain was told to come again
-	asked  time.Time
+	tokens      *rate.Limiter
+	opensAt     time.Time // nothing is granted before this time
+	slot        time.Time // when the last denied request was told to try again
+	lastRequest time.Time
 }
 
 // NewGrantor returns a grantor without buckets.
 func NewGrantor() *Grantor { return &Grantor{buckets: make(map[Key]*bucket)} }
 
-// Handle answers an ask for a permit for a server with a limit.
-func (g *Grantor) Handle(s Known, f Fleet, now time.Time) Grant {
-	if !f.First {
+// Handle answers a permit request for a server with a limit.
+func (g *Grantor) Handle(s Known, f FleetView, now time.Time) Grant {
+	if !f.IsGrantor {
 		delete(g.buckets, s.Server)
-		return Grant{Wait: elsewherePause, Elsewhere: true}
+		return Grant{Wait: notGrantorBackoff, Elsewhere: true}
 	}
 	perSecond := s.rate() * f.Part
 	b := g.bucket(s, perSecond, now)
-	b.asked = now
-	if now.Before(b.opens) {
-		return Grant{Wait: b.opens.Sub(now)}
+	b.lastRequest = now
+	if now.Before(b.opensAt) {
+		return Grant{Wait: b.opensAt.Sub(now)}
 	}
 	b.setRate(perSecond, now)
 	if b.tokens.AllowN(now, 1) {
@@ -86,23 +89,24 @@
 
 func (g *Grantor) bucket(s Known, perSecond float64, now time.Time) *bucket {
 	b := g.buckets[s.Server]
-	if b != nil && now.Sub(b.asked) < idleTime {
+	if b != nil && now.Sub(b.lastRequest) < idleTimeout {
 		return b
 	}
-	b = &bucket{opens: now.Add(settleTime), tokens: rate.NewLimiter(rate.Limit(perSecond), burst(perSecond))}
-	if rested := s.Since.Add(rest(perSecond)); s.New && rested.After(b.opens) {
-		b.opens = rested
+	b = &bucket{opensAt: now.Add(settleTime), tokens: rate.NewLimiter(rate.Limit(perSecond), burst(perSecond))}
+	if backoffEnd := s.Since.Add(initialBackoff(perSecond)); s.New && backoffEnd.After(b.opensAt) {
+		b.opensAt = backoffEnd
 	}
-	b.tokens.AllowN(b.opens, burst(perSecond)) // it starts empty
+	b.tokens.AllowN(b.opensAt, burst(perSecond)) // start with an empty bucket
 	g.buckets[s.Server] = b
 	return b
 }
 
-func burst(perSecond float64) int { return max(leastBurst, int(perSecond*burstTime.Seconds())) }
+func burst(perSecond float64) int { return max(minBurst, int(perSecond*burstTime.Seconds())) }
 
-// rest returns for how long a server is left alone that names a limit for the first time.
-func rest(perSecond float64) time.Duration {
-	return min(longestRest, time.Duration(restPermits/perSecond*float64(time.Second)))
+// initialBackoff returns how long a server gets no requests after it first reported a
+// limit.
+func initialBackoff(perSecond float64) time.Duration {
+	return min(maxInitialBackoff, time.Duration(initialBackoffPermits/perSecond*float64(time.Second)))
 }
 
 func (b *bucket) setRate(perSecond float64, now time.Time) {
@@ -110,29 +114,29 @@
 	b.tokens.SetBurstAt(now, burst(perSecond))
 }
 
-// wait returns when it is worth asking again: when there is a token, or a little later for
-// those that ask in vain one after the other.
+// wait returns when a denied request may be tried again: when there is a token, or a
+// little later for requests that are denied one after the other.
 func (b *bucket) wait(perSecond float64, now time.Time) time.Duration {
 	gap := time.Duration(float64(time.Second) / perSecond)
 	next := now.Add(time.Duration((1 - b.tokens.TokensAt(now)) * float64(gap)))
-	turn := b.turn.Add(gap)
-	if turn.Before(next) || turn.Sub(next) >= mostTurns*gap {
-		turn = next
+	slot := b.slot.Add(gap)
+	if slot.Before(next) || slot.Sub(next) >= maxSlots*gap {
+		slot = next
 	}
-	b.turn = turn
-	return max(shortestWait, turn.Sub(now))
+	b.slot = slot
+	return max(minWait, slot.Sub(now))
 }
 
-// Servers returns the servers that it grants permits for.
+// Servers returns the servers for which there are buckets.
 func (g *Grantor) Servers() []Key { return slices.Collect(maps.Keys(g.buckets)) }
 
-// Drop notes that another process grants for a server.
+// Drop removes the bucket of a server for which another process is the grantor.
 func (g *Grantor) Drop(server Key) { delete(g.buckets, server) }
 
-// Expire drops the buckets that nobody asks for.
+// Expire removes buckets without recent permit requests.
 func (g *Grantor) Expire(now time.Time) {
 	for server, b := range g.buckets {
-		if now.Sub(b.asked) >= idleTime {
+		if now.Sub(b.lastRequest) >= idleTimeout {
 			delete(g.buckets, server)
 		}
 	}
--- a/core/ratelimit/impose.go
+++ b/core/ratelimit/impose.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// RateWithin returns the limit with which one grantor lets through so many requests in any
-// second at most, bursts and permits that are used late included.
+// RateWithin returns the limit at which one grantor lets through at most the given number
+// of requests in any second, including bursts and permits that are used late.
 func RateWithin(most float64) float64 {
-	used := time.Second + askTimeout
+	used := time.Second + permitTimeout
 	inBursts := most / (used + burstTime).Seconds()
-	if inBursts*burstTime.Seconds() >= leastBurst {
+	if inBursts*burstTime.Seconds() >= minBurst {
 		return inBursts
 	}
-	return max(leastRate, (most-leastBurst)/used.Seconds())
+	return max(minRate, (most-minBurst)/used.Seconds())
 }
 
-// Impose sets a limit that a server does not name: all processes know it by themselves, so it
-// is not told to others. It holds until a time, or until a later one if it is imposed again.
+// Impose sets a limit that a server does not report itself. All processes impose it on
+// their own, so it is not sent to others. It holds until the given time, or until a later
+// time if it is imposed again.
 func (t *Table) Impose(server Key, limit float64, until, now time.Time) {
-	t.take(Statement{Server: server, Limit: limit, Limited: true, At: now, until: until}, imposed, now)
+	t.apply(Statement{Server: server, Limit: limit, Limited: true, At: now, until: until}, sourceImposed, now)
 }
 
-// Lift ends the imposed limits whose time is over and returns their servers.
+// Lift ends the imposed limits that have expired and returns their servers.
 func (t *Table) Lift(now time.Time) []Key {
 	if t.limited.Load() == 0 {
 		return nil
 	}
-	var over []Key
+	var expired []Key
 	t.mu.Lock()
 	for server, k := range t.known {
-		if k.Source == imposed && k.Limited && !now.Before(k.until) {
-			over = append(over, server)
+		if k.Source == sourceImposed && k.Limited && !now.Before(k.until) {
+			expired = append(expired, server)
 		}
 	}
 	t.mu.Unlock()
-	for _, server := range over {
-		t.take(Statement{Server: server, At: now}, imposed, now)
+	for _, server := range expired {
+		t.apply(Statement{Server: server, At: now}, sourceImposed, now)
 	}
-	return over
+	return expired
 }
--- a/core/ratelimit/impose_test.go
+++ b/core/ratelimit/impose_test.go
@@ -10,17 +10,17 @@
 	"github.com/matryer/is"
 )
 
-func TestAnImposedLimitEndsByItself(t *testing.T) {
+func TestImposedLimitExpires(t *testing.T) {
 	is := is.New(t)
 	table, now := newTestTable(), time.Now()
 	table.Impose(1, 5, now.Add(3*time.Second), now)
 	limit, limited := table.Get(1)
 	is.True(limited)
 	is.Equal(limit.Limit, 5.0)
-	is.Equal(len(table.Told(now)), 0) // all know it by themselves
+	is.Equal(len(table.Told(now)), 0) // every process imposes it on its own
 	is.Equal(len(table.Lift(now.Add(2*time.Second))), 0)
 	later := now.Add(2 * time.Second)
-	table.Impose(1, 5, later.Add(3*time.Second), later) // it is cold again
+	table.Impose(1, 5, later.Add(3*time.Second), later) // the server is cold again
 	is.Equal(len(table.Lift(now.Add(4*time.Second))), 0)
 	is.Equal(table.Lift(now.Add(5*time.Second)), []Key{1})
 	_, limited = table.Get(1)
@@ -29,8 +29,8 @@
 	is.Equal(table.Limited(), 0)
 }
 
-// What a server says of its limit in an answer does not end one that is imposed.
-func TestAnAnswerDoesNotEndAnImposedLimit(t *testing.T) {
+// An answer that reports no limit does not end an imposed limit.
+func TestAnswerDoesNotEndImposedLimit(t *testing.T) {
 	is := is.New(t)
 	table, now := newTestTable(), time.Now()
 	table.Impose(1, 5, now.Add(3*time.Second), now)
@@ -39,8 +39,8 @@
 	is.True(limited)
 }
 
-// Many ask again and again, and use a permit up to askTimeout later.
-func TestNoSecondHasMorePermitsThanTheRateIsFor(t *testing.T) {
+// Permits are requested continuously and used up to permitTimeout later.
+func TestNoSecondExceedsRateWithin(t *testing.T) {
 	for _, most := range []float64{2.5, 3, 5, 8, 26, 100, 1000} {
 		t.Run(fmt.Sprintf("%g", most), func(t *testing.T) {
 			is := is.New(t)
@@ -52,10 +52,10 @@
 				for range 20_000 {
 					now = now.Add(time.Duration(rnd.Int64N(int64(time.Millisecond))))
 					if rnd.IntN(4000) == 0 {
-						now = now.Add(time.Duration(rnd.Int64N(int64(3 * time.Second)))) // nobody asks
+						now = now.Add(time.Duration(rnd.Int64N(int64(3 * time.Second)))) // no requests
 					}
-					if g.Handle(limit, Fleet{First: true, Part: 1}, now).Granted {
-						used = append(used, now.Add(time.Duration(rnd.Int64N(int64(askTimeout)))))
+					if g.Handle(limit, FleetView{IsGrantor: true, Part: 1}, now).Granted {
+						used = append(used, now.Add(time.Duration(rnd.Int64N(int64(permitTimeout)))))
 					}
 				}
 				is.True(len(used) > 0)
@@ -65,7 +65,7 @@
 	}
 }
 
-// mostInSecond returns the most times in any second.
+// mostInSecond returns the largest number of times within one second.
 func mostInSecond(times []time.Time) int {
 	slices.SortFunc(times, time.Time.Compare)
 	most, first := 0, 0
--- a/core/ratelimit/parse.go
+++ b/core/ratelimit/parse.go
@@ -7,42 +7,42 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrValue means that the text of a limit cannot be read.
-var ErrValue = eris.New("ratelimit: limit not understood")
+// ErrValue means that the text of a limit is invalid.
+var ErrValue = eris.New("ratelimit: invalid limit")
 
-// longestText is the longest text, in bytes, that is read as a number.
-const longestText = 64
+// maxTextLength is the maximum length, in bytes, of a text that is parsed as a number.
+const maxTextLength = 64
 
-// Parse reads the values of the header field in which a backend server names its limit: a
-// decimal number of requests a second, without sign or exponent. Of several the lowest counts,
-// as far as they can be read, and the error tells of another one. A server whose limit cannot
-// be read says nothing: neither that there is one nor that there is none. A limit over
-// MostLimit is as good as none.
+// Parse parses the values of the header field in which a backend server reports its limit:
+// a decimal number of requests a second, without sign or exponent. If there are several,
+// the lowest valid one counts, and the error describes an invalid one. An invalid limit
+// reports nothing: neither that there is a limit nor that there is none. A limit above
+// MaxLimit counts as none.
 func Parse(values []string) (Said, error) {
 	if len(values) == 0 {
 		return Said{Kind: SaidNone}, nil
 	}
 	out := Said{}
-	var unread error
+	var invalid error
 	for text := range strings.SplitSeq(strings.Join(values, ","), ",") {
 		limit, err := parseLimit(strings.TrimSpace(text))
 		switch {
 		case err != nil:
-			unread = err
-		case out.Kind == SaidNothing || limit < out.Limit:
+			invalid = err
+		case out.Kind == LimitUnknown || limit < out.Limit:
 			out = Said{Kind: SaidLimit, Limit: limit}
 		}
 	}
-	if out.Kind == SaidLimit && out.Limit > MostLimit {
+	if out.Kind == SaidLimit && out.Limit > MaxLimit {
 		out = Said{Kind: SaidNone}
 	}
-	return out, unread
+	return out, invalid
 }
 
 func parseLimit(text string) (float64, error) {
 	decimal := strings.IndexFunc(text, func(r rune) bool { return (r < '0' || r > '9') && r != '.' }) < 0
-	if !decimal || len(text) > longestText {
-		return 0, eris.Wrapf(ErrValue, "%q, allowed: a decimal number of requests a second", text[:min(len(text), longestText)])
+	if !decimal || len(text) > maxTextLength {
+		return 0, eris.Wrapf(ErrValue, "%q, allowed: a decimal number of requests a second", text[:min(len(text), maxTextLength)])
 	}
 	limit, err := strconv.ParseFloat(text, 64)
 	if err != nil {
--- a/core/ratelimit/parse_test.go
+++ b/core/ratelimit/parse_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWhatAServerSaysOfItsLimit(t *testing.T) {
+func TestParse(t *testing.T) {
 	limit := func(l float64) Said { return Said{Kind: SaidLimit, Limit: l} }
 	none := Said{Kind: SaidNone}
 	nothing := Said{}
@@ -22,9 +22,9 @@
 		{"with spaces", []string{" 0.25 "}, limit(0.25), false},
 		{"zero", []string{"0"}, limit(0), false},
 		{"larger than any server takes", []string{"100001"}, none, false},
-		{"named twice", []string{"3", "2"}, limit(2), false},
-		{"named twice in one field", []string{"3, 2"}, limit(2), false},
-		{"named twice, one garbled", []string{"3", "x"}, limit(3), true},
+		{"reported twice", []string{"3", "2"}, limit(2), false},
+		{"reported twice in one field", []string{"3, 2"}, limit(2), false},
+		{"reported twice, one malformed", []string{"3", "x"}, limit(3), true},
 		{"empty", []string{""}, nothing, true},
 		{"negative", []string{"-1"}, nothing, true},
 		{"signed", []string{"+1"}, nothing, true},
@@ -41,8 +41,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			said, err := Parse(c.values)
-			is.Equal(said, c.want)
+			reported, err := Parse(c.values)
+			is.Equal(reported, c.want)
 			is.Equal(err != nil, c.fails)
 		})
 	}
@@ -53,12 +53,12 @@
 		f.Add(seed, "2")
 	}
 	f.Fuzz(func(t *testing.T, first, second string) {
-		said, err := Parse([]string{first, second})
-		valid := said.Limit >= 0 && said.Limit <= MostLimit
-		if !valid || said.Kind != SaidLimit && said.Limit != 0 {
-			t.Fatalf("%q, %q: %+v", first, second, said)
+		reported, err := Parse([]string{first, second})
+		valid := reported.Limit >= 0 && reported.Limit <= MaxLimit
+		if !valid || reported.Kind != SaidLimit && reported.Limit != 0 {
+			t.Fatalf("%q, %q: %+v", first, second, reported)
 		}
-		if said.Kind == SaidNothing && err == nil {
+		if reported.Kind == LimitUnknown && err == nil {
 			t.Fatalf("%q, %q: nothing, and no error", first, second)
 		}
 	})
--- a/core/ratelimit/single.go
+++ b/core/ratelimit/single.go
@@ -7,8 +7,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Single keeps the limit of one backend server for a process through which all requests to
-// it go. It is safe for concurrent use.
+// Single enforces the limit of one backend server in a process that handles all requests
+// to it. It is safe for concurrent use.
 type Single struct {
 	table *Table
 
@@ -19,16 +19,16 @@
 // onlyServer is the key of the server in the tables of a Single.
 const onlyServer Key = 1
 
-// NewSingle returns the limit of a server that has not said anything yet.
+// NewSingle returns a Single for a server that has not reported anything yet.
 func NewSingle(name string, log zerolog.Logger) *Single {
 	return &Single{table: NewTable(func(Key) string { return name }, log), grantor: NewGrantor()}
 }
 
-// Heard takes what an answer said, to a request that was sent at a time.
-func (s *Single) Heard(said Said, sent, now time.Time) { s.table.Heard(onlyServer, said, sent, now) }
+// Heard stores what an answer reported about the limit. sent is when the request was sent.
+func (s *Single) Heard(r Said, sent, now time.Time) { s.table.Heard(onlyServer, r, sent, now) }
 
-// Take takes the permit to send a request now. If there is none, it returns after which time
-// it is worth trying again.
+// Take acquires the permit to send a request now. If there is none, it returns the time
+// after which to try again.
 func (s *Single) Take(now time.Time) (wait time.Duration, ok bool) {
 	limit, limited := s.table.Get(onlyServer)
 	if !limited {
@@ -36,6 +36,6 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	grant := s.grantor.Handle(limit, Fleet{First: true, Part: 1}, now)
+	grant := s.grantor.Handle(limit, FleetView{IsGrantor: true, Part: 1}, now)
 	return grant.Wait, grant.Granted
 }
--- a/core/ratelimit/statement.go
+++ b/core/ratelimit/statement.go
@@ -10,48 +10,48 @@
 type Key uint64
 
 const (
-	// MostLimit is the largest limit that is kept, in requests a second: no backend server
-	// takes more, so a larger one is as good as none.
-	MostLimit = 100_000.0
-	// leastRate is the rate, in requests a second, at which a server is tried that names a
-	// lower one: only an answer can tell that its limit has ended.
-	leastRate = 1.0 / 3
+	// MaxLimit is the largest limit that is enforced, in requests a second. No backend
+	// server processes more, so a larger limit counts as none.
+	MaxLimit = 100_000.0
+	// minRate is the rate, in requests a second, that is used for a server with a lower
+	// limit: only an answer can tell that its limit has ended.
+	minRate = 1.0 / 3
 )
 
-// Said is what one answer says of a limit.
+// Said is what one answer reports about a limit.
 type Said struct {
-	Kind  SaidKind
-	Limit float64 // requests a second, 0 or more; with SaidLimit only
+	Kind  LimitKind
+	Limit float64 // requests a second, 0 or more; only with SaidLimit
 }
 
-// SaidKind tells what an answer says of a limit.
-type SaidKind int
+// LimitKind tells whether an answer reports a limit.
+type LimitKind int
 
-// Kinds of what an answer says.
+// Kinds of reports about a limit.
 const (
-	SaidNothing SaidKind = iota // it does not tell whether there is a limit
-	SaidNone                    // there is none
-	SaidLimit                   // there is one
+	LimitUnknown LimitKind = iota // the answer does not tell whether there is a limit
+	SaidNone                      // there is no limit
+	SaidLimit                     // there is a limit
 )
 
-// Statement is what a backend server said of its limit.
+// Statement is a backend server's limit as reported in one answer.
 type Statement struct {
 	Server  Key
 	Limit   float64 // requests a second
-	Limited bool    // false: it named no limit
-	// At is when the request was sent whose answer said so.
+	Limited bool    // false: the server reported no limit
+	// At is when the request was sent whose answer reported it.
 	At time.Time
-	// until is when a limit ends that is imposed; zero = it is not.
+	// until is when an imposed limit ends; zero if the limit is not imposed.
 	until time.Time
 }
 
-// rate returns at which rate requests are sent to the server, in requests a second.
-func (s Statement) rate() float64 { return max(leastRate, s.Limit) }
+// rate returns the rate at which requests are sent to the server, in requests a second.
+func (s Statement) rate() float64 { return max(minRate, s.Limit) }
 
 func (s Statement) same(o Statement) bool { return s.Limited == o.Limited && s.Limit == o.Limit }
 
-// supersedes reports whether the statement counts in place of another one on the server. Of
-// two of the same moment the lower limit does.
+// supersedes reports whether the observation replaces another one of the same server. Of
+// two observations of the same time, the lower limit wins.
 func (s Statement) supersedes(o Statement) bool {
 	if !s.At.Equal(o.At) {
 		return s.At.After(o.At)
@@ -65,12 +65,12 @@
 		out.Limit = s.Limit
 	}
 	if age := now.Sub(s.At); age > 0 {
-		out.AgeMs = uint32((age + time.Millisecond - 1) / time.Millisecond) // never too young: it is passed on
+		out.AgeMs = uint32((age + time.Millisecond - 1) / time.Millisecond) // rounded up: a relayed age must never be too low
 	}
 	return out
 }
 
-// AskToWire encodes an ask for a permit to send a request to the server.
+// AskToWire encodes a permit request for the server.
 func (s Statement) AskToWire(now time.Time) *wire.PermitAsk {
 	return &wire.PermitAsk{Limit: s.wire(now)}
 }
@@ -81,22 +81,23 @@
 	return &wire.PermitReply{Granted: g.Granted, WaitMs: wait, Elsewhere: g.Elsewhere}
 }
 
-// longestWait bounds the time after which another process says that it is worth asking again.
-const longestWait = 10 * time.Second
+// maxWait bounds the waiting time that another process may request.
+const maxWait = 10 * time.Second
 
-// GrantFromWire decodes a grant; one that is missing grants nothing.
+// GrantFromWire decodes a grant. A missing grant counts as a denial.
 func GrantFromWire(w *wire.PermitReply) Grant {
 	if w == nil {
-		return Grant{Wait: elsewherePause, Elsewhere: true}
+		return Grant{Wait: notGrantorBackoff, Elsewhere: true}
 	}
 	wait := time.Duration(w.GetWaitMs()) * time.Millisecond
-	return Grant{Granted: w.GetGranted(), Wait: min(wait, longestWait), Elsewhere: w.GetElsewhere()}
+	return Grant{Granted: w.GetGranted(), Wait: min(wait, maxWait), Elsewhere: w.GetElsewhere()}
 }
 
-// StatementFromWire decodes a statement. It returns false if it is none.
+// StatementFromWire decodes an observation. It returns false if the observation is
+// invalid.
 func StatementFromWire(w *wire.ServerLimit, now time.Time) (Statement, bool) {
 	limit := w.GetLimit()
-	valid := limit >= 0 && limit <= MostLimit // false for NaN
+	valid := limit >= 0 && limit <= MaxLimit // false for NaN
 	if w == nil || !valid || w.GetEnded() && limit != 0 {
 		return Statement{}, false
 	}
--- a/core/ratelimit/table.go
+++ b/core/ratelimit/table.go
@@ -15,65 +15,69 @@
 )
 
 const (
-	// statementLife is how long a statement is kept that nothing refers to: longer than any
-	// request lasts, whose answer may be older.
-	statementLife = 90 * time.Second
-	// mostStatements bounds the table. A server each, so it is far beyond any fleet.
-	mostStatements = 8192
-	// mostTold bounds the statements in a heartbeat, of 19 bytes each; freshTime is for how
-	// long one that changed goes before the others.
-	mostTold  = 24
-	freshTime = 2 * time.Second
-	// sameTolerance is how much younger the same statement has to be to count as a new one.
-	// Ages grow on their way by the time of the way, which would add up in a circle.
-	sameTolerance = 250 * time.Millisecond
-	// startTime is how long a process needs after its start to hear what others know.
-	startTime = 2 * time.Second
+	// observationLifetime is how long an observation is retained if nothing refers to it.
+	// It is longer than any request lasts, whose answer may carry an older observation.
+	observationLifetime = 90 * time.Second
+	// maxObservations bounds the table. There is one observation for each server, so this
+	// is far above the size of any fleet.
+	maxObservations = 8192
+	// maxReported bounds the observations in a heartbeat, of 19 bytes each. freshTime is
+	// how long a changed observation takes precedence over the others.
+	maxReported = 24
+	freshTime   = 2 * time.Second
+	// newerTolerance is by how much an observation with the same content must be newer to
+	// replace an older one. The age in a heartbeat excludes the transmission time, so a
+	// relayed observation seems newer at each hop; this would add up when observations
+	// circulate.
+	newerTolerance = 250 * time.Millisecond
+	// startupTime is how long a process needs after its start to receive what others know.
+	startupTime = 2 * time.Second
 )
 
-// OwnAnswer is the source of a statement that this process heard itself; that of others is
-// the gateway that told it.
-const OwnAnswer = "answer"
+// SourceAnswer is the source of an observation from an answer to this process. The source
+// of an observation that another gateway reported is the id of that gateway.
+const SourceAnswer = "answer"
 
-// imposed is the source of a limit that each process knows by itself.
-const imposed = "imposed"
+// sourceImposed is the source of a limit that each process imposes on its own.
+const sourceImposed = "imposed"
 
-// Known is a statement with how it became known.
+// Known is an observation and how it became known.
 type Known struct {
 	Statement
 	Source string
-	// Since is when the limit, or its end, became known here first.
+	// Since is when this process first learned of the limit or of its end.
 	Since time.Time
-	// New tells that nobody knew of it before. To a process that has just started, nothing is
-	// new.
+	// New reports that no process knew of it before. In a process that has just started,
+	// nothing counts as new.
 	New bool
 }
 
-// Table keeps the latest statement on each backend server. It is safe for concurrent use.
+// Table keeps the latest observation for each backend server. It is safe for concurrent
+// use.
 type Table struct {
 	log  zerolog.Logger
-	name func(Key) string // of a server, for the log
+	name func(Key) string // returns the id of a server, for the log
 
-	began time.Time
+	startedAt time.Time
 
-	limited atomic.Int32 // servers with a limit
-	told    atomic.Int32 // statements
+	limited atomic.Int32 // number of servers with a limit
+	count   atomic.Int32 // number of observations
 
 	mu    sync.Mutex
 	known map[Key]*Known
-	turn  int // where the statements begin that are told in turn
+	next  int // index of the observation last reported in turn
 }
 
-// NewTable returns an empty table. The function returns the id of a backend server for the
-// log, empty if it is not known.
+// NewTable returns an empty table. name returns the id of a backend server for the log, or
+// an empty string if the server is unknown.
 func NewTable(name func(Key) string, log zerolog.Logger) *Table {
-	return &Table{log: log, name: name, began: clock.Now(), known: make(map[Key]*Known)}
+	return &Table{log: log, name: name, startedAt: clock.Now(), known: make(map[Key]*Known)}
 }
 
-// Limited returns how many backend servers name a limit.
+// Limited returns the number of backend servers with a limit.
 func (t *Table) Limited() int { return int(t.limited.Load()) }
 
-// Get returns the limit that a server names.
+// Get returns the limit of a server, if it has one.
 func (t *Table) Get(server Key) (Known, bool) {
 	if t.limited.Load() == 0 {
 		return Known{}, false
@@ -82,7 +86,7 @@
 	return k, known && k.Limited
 }
 
-// Latest returns the latest statement on a server, also that its limit ended.
+// Latest returns the latest observation for a server, including that its limit ended.
 func (t *Table) Latest(server Key) (Known, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,65 +97,68 @@
 	return *k, true
 }
 
-// Heard takes what an answer to a request of this process said, which was sent at a time. It
-// reports whether a limit ended.
-func (t *Table) Heard(server Key, said Said, sent, now time.Time) (ended bool) {
-	switch said.Kind {
+// Heard stores what an answer to a request of this process reported. sent is when the
+// request was sent. Heard reports whether a limit ended.
+func (t *Table) Heard(server Key, reported Said, sent, now time.Time) (ended bool) {
+	switch reported.Kind {
 	case SaidLimit:
-		return t.take(Statement{Server: server, Limit: said.Limit, Limited: true, At: sent}, OwnAnswer, now)
+		return t.apply(Statement{Server: server, Limit: reported.Limit, Limited: true, At: sent}, SourceAnswer, now)
 	case SaidNone:
-		if t.told.Load() == 0 {
-			return false // nobody has ever named one
+		if t.count.Load() == 0 {
+			return false // no server has ever reported a limit
 		}
-		return t.take(Statement{Server: server, At: sent}, OwnAnswer, now)
+		return t.apply(Statement{Server: server, At: sent}, SourceAnswer, now)
 	default:
 		return false
 	}
 }
 
-// Hear takes what another gateway knows, and returns the servers whose limits ended.
+// Hear records the observations that another gateway reports, and returns the servers
+// whose limits ended.
 func (t *Table) Hear(from vm.ID, limits []*wire.ServerLimit, now time.Time) []Key {
 	var ended []Key
 	for _, w := range limits {
 		s, ok := StatementFromWire(w, now)
 		if !ok {
 			t.log.Warn().Str("peer", string(from)).Uint64("server_incarnation", w.GetServer()).Float64("limit", w.GetLimit()).
-				Msg("limit not understood")
+				Msg("malformed limit ignored")
 			continue
 		}
-		if t.take(s, string(from), now) {
+		if t.apply(s, string(from), now) {
 			ended = append(ended, s.Server)
 		}
 	}
 	return ended
 }
 
-// take keeps a statement if it counts, and reports whether a limit ended with it.
-func (t *Table) take(s Statement, source string, now time.Time) (ended bool) {
-	before, after, changed := t.keep(s, source, now)
+// apply records an observation unless it is outdated, logs the change, and reports whether
+// it ended a limit.
+func (t *Table) apply(s Statement, source string, now time.Time) (ended bool) {
+	before, after, changed := t.merge(s, source, now)
 	if !changed {
 		return false
 	}
-	t.note(before, after, now) // without the lock: it asks for the server's name
+	t.logChange(before, after, now) // called without the lock, as it looks up the server's name
 	return before.Limited && !after.Limited
 }
 
-// keep keeps a statement if it counts, and returns what was known before if it changes that.
-func (t *Table) keep(s Statement, source string, now time.Time) (before, after Known, changed bool) {
+// merge stores an observation unless it is outdated. It returns the known limits before
+// and after, and whether the limit changed.
+func (t *Table) merge(s Statement, source string, now time.Time) (before, after Known, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.known[s.Server]
-	after = Known{Statement: s, Source: source, Since: now, New: source != imposed && now.Sub(t.began) >= startTime}
+	after = Known{Statement: s, Source: source, Since: now, New: source != sourceImposed && now.Sub(t.startedAt) >= startupTime}
 	if old == nil {
-		if !s.Limited && (source == OwnAnswer || now.Sub(s.At) >= statementLife) {
-			return Known{}, Known{}, false // it named none before either, as far as is known
+		if !s.Limited && (source == SourceAnswer || now.Sub(s.At) >= observationLifetime) {
+			return Known{}, Known{}, false // as far as known, the server had no limit before either
 		}
-		t.makeRoom()
+		t.evictOldest()
 		old = &Known{}
 		t.known[s.Server] = old
-		t.told.Store(int32(len(t.known)))
+		t.count.Store(int32(len(t.known)))
 	} else if s.same(old.Statement) {
-		if s.At.Sub(old.At) >= sameTolerance {
+		if s.At.Sub(old.At) >= newerTolerance {
 			old.At = s.At
 		}
 		if s.until.After(old.until) {
@@ -171,8 +178,8 @@
 	return before, after, before.Limited || after.Limited
 }
 
-// note logs a change.
-func (t *Table) note(before, after Known, now time.Time) {
+// logChange logs a changed limit.
+func (t *Table) logChange(before, after Known, now time.Time) {
 	message := "backend server names a limit"
 	switch {
 	case !after.Limited:
@@ -191,9 +198,9 @@
 	e.Msg(message)
 }
 
-// makeRoom forgets the oldest statement if the table is full.
-func (t *Table) makeRoom() {
-	if len(t.known) < mostStatements {
+// evictOldest removes the oldest observation if the table is full.
+func (t *Table) evictOldest() {
+	if len(t.known) < maxObservations {
 		return
 	}
 	var oldest *Known
@@ -211,49 +218,51 @@
 		t.limited.Add(-1)
 	}
 	delete(t.known, k.Server)
-	t.told.Store(int32(len(t.known)))
+	t.count.Store(int32(len(t.known)))
 }
 
-// Expire forgets old statements on servers that are not listed, and ends that are old.
+// Expire removes old observations of servers that are not listed, and old observations
+// that a limit ended.
 func (t *Table) Expire(listed func(Key) bool, now time.Time) {
-	if t.told.Load() == 0 {
+	if t.count.Load() == 0 {
 		return
 	}
-	for _, server := range t.old(now) {
-		if k, _ := t.Latest(server); k.Limited && listed(server) { // asked without the lock
+	for _, server := range t.expired(now) {
+		if k, _ := t.Latest(server); k.Limited && listed(server) { // called without the lock
 			continue
 		}
 		t.mu.Lock()
-		if k := t.known[server]; k != nil && now.Sub(k.At) >= statementLife {
+		if k := t.known[server]; k != nil && now.Sub(k.At) >= observationLifetime {
 			t.forget(k)
 		}
 		t.mu.Unlock()
 	}
 }
 
-// old returns the servers of which nothing was heard for statementLife.
-func (t *Table) old(now time.Time) []Key {
+// expired returns the servers without an observation newer than observationLifetime.
+func (t *Table) expired(now time.Time) []Key {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Key
 	for server, k := range t.known {
-		if now.Sub(k.At) >= statementLife {
+		if now.Sub(k.At) >= observationLifetime {
 			out = append(out, server)
 		}
 	}
 	return out
 }
 
-// Told returns what a heartbeat says: what changed lately, and others in turn.
+// Told returns the observations to send in a heartbeat: recent changes, and others in
+// turn.
 func (t *Table) Told(now time.Time) []*wire.ServerLimit {
-	if t.told.Load() == 0 {
+	if t.count.Load() == 0 {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var fresh, old []*Known
 	for _, k := range t.known {
-		if k.Source == imposed {
+		if k.Source == sourceImposed {
 			continue
 		}
 		if now.Sub(k.Since) < freshTime {
@@ -264,15 +273,15 @@
 	}
 	slices.SortFunc(fresh, func(a, b *Known) int { return b.Since.Compare(a.Since) })
 	slices.SortFunc(old, func(a, b *Known) int { return cmp.Compare(a.Server, b.Server) })
-	// Some of the others are told beside any number of fresh ones.
-	fresh = fresh[:min(len(fresh), mostTold-min(mostTold/4, len(old)))]
-	out := make([]*wire.ServerLimit, 0, min(mostTold, len(fresh)+len(old)))
+	// Reserve space for some old observations, however many fresh ones there are.
+	fresh = fresh[:min(len(fresh), maxReported-min(maxReported/4, len(old)))]
+	out := make([]*wire.ServerLimit, 0, min(maxReported, len(fresh)+len(old)))
 	for _, k := range fresh {
 		out = append(out, k.wire(now))
 	}
-	for range min(len(old), mostTold-len(fresh)) {
-		t.turn = (t.turn + 1) % len(old)
-		out = append(out, old[t.turn].wire(now))
+	for range min(len(old), maxReported-len(fresh)) {
+		t.next = (t.next + 1) % len(old)
+		out = append(out, old[t.next].wire(now))
 	}
 	return out
 }
