--- a/core/notice/doc.go
+++ b/core/notice/doc.go
@@ -1,22 +1,26 @@
-// Package notice holds what backend servers say of themselves in their answers, beside the
-// answer itself, and what follows from it for one incarnation of a server.
+// Package notice holds the notices that backend servers give about themselves in their
+// answers, in addition to the answer itself, and the resulting state of each incarnation
+// of a server.
 //
-// # What is said
+// # Notices
 //
-// A Notice is what one answer says, whatever it answers: a request, a probe, a report or an
-// order. An adapter reads all of it in one place. What cannot be read says nothing; it never
-// takes back what was said before.
+// A Notice is what one answer reports, whether it answers a request, a probe, a report or
+// an order. An adapter reads all parts of a notice in one place. A part that cannot be
+// parsed reports nothing; it never revokes an earlier notice.
 //
-// # What is known
+// # State
 //
-// A State belongs to one incarnation of a backend server and outlives its entries: an entry that
-// is older than an answer, or is written again from a copy, does not take back that the server
-// leaves. A new incarnation, under the same id or at the same address, has a State of its own.
+// A State belongs to one incarnation of a backend server and outlives the server's
+// entries: an entry that is older than an answer, or that is restored from a copy, does
+// not revoke that the server leaves. A new incarnation, under the same id or at the same
+// address, has a State of its own.
 //
-// A rest is asked of the process that got the answer. It ends at the latest of all ends asked
-// for: a shorter one that is asked for later, or an answer to a request that was under way, does
-// not end it sooner. Other processes are not told: each is turned away once and then
-// knows, while a server that had too much from one process goes on serving the others.
+// A backoff applies to the process that received the answer. It ends at the latest of all
+// requested ends: neither a shorter backoff that is requested later nor an answer to a
+// request that was in flight ends it sooner. Other processes are not told. Each of them is
+// refused once and then knows, while a server that received too much from one process
+// continues to serve the others.
 //
-// That a server leaves is final for its incarnation, whether its entry or an answer said so.
+// That a server leaves is final for its incarnation, whether its entry or an answer
+// reported it.
 package notice
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -6,15 +6,17 @@
 	"baywall.example/core/ratelimit"
 )
 
-// Notice is what one answer says of the backend server that gave it.
+// Notice is what one answer reports about the backend server that gave it.
 type Notice struct {
-	// Limit is how many requests a second the server takes from all processes together.
+	// Limit is the number of requests a second that the server accepts from all processes
+	// together.
 	Limit ratelimit.Said
-	// Rest is for how long the server wants no requests from the process that got the answer,
-	// 0 = it does not ask for a rest.
+	// Rest is how long the server asks the process that received the answer not to send
+	// requests, or 0 if it does not ask for a backoff.
 	Rest time.Duration
-	// Leaving tells that the server ends soon and takes no new requests.
+	// Leaving reports that the server ends soon and accepts no new requests.
 	Leaving bool
-	// Cold is for how much longer the server bears few requests, 0 = it does not say so.
+	// Cold is how much longer the server can process only few requests, or 0 if it does
+	// not report that.
 	Cold time.Duration
 }
--- a/core/notice/parse.go
+++ b/core/notice/parse.go
@@ -12,35 +12,36 @@
 	"baywall.example/core/ratelimit"
 )
 
-// ErrValue means that the text of a notice cannot be read.
-var ErrValue = eris.New("notice: not understood")
+// ErrValue means that the text of a notice is invalid.
+var ErrValue = eris.New("notice: invalid value")
 
 const (
-	// LongestRest bounds a rest: a server that asks for more is tried again after it.
-	LongestRest = 24 * time.Hour
-	// longestText is the longest text, in bytes, that is read.
-	longestText = 64
+	// MaxBackoff is the longest backoff. A server that asks for more is tried again after
+	// it.
+	MaxBackoff = 24 * time.Hour
+	// maxTextLength is the maximum length, in bytes, of a text that is parsed.
+	maxTextLength = 64
 )
 
-// ParseRest reads the values of a Retry-After field: decimal seconds without sign or exponent,
-// or an HTTP date, which counts from the answer's own Date, and from now where it has none. Of
-// several the longest counts, as far as they can be read, and the error tells of another one.
-// Zero and a date that has passed ask for no rest.
+// ParseRest parses the values of a Retry-After field: decimal seconds without sign or
+// exponent, or an HTTP date. A date is relative to the answer's Date field, or to now if
+// there is none. If there are several values, the longest valid one counts, and the error
+// describes an invalid one. Zero and a date in the past ask for no backoff.
 func ParseRest(values []string, date string, now time.Time) (time.Duration, error) {
 	var longest time.Duration
-	var unread error
-	for _, text := range splitRests(values) {
-		rest, err := parseRest(text, date, now)
+	var invalid error
+	for _, text := range splitRetryAfter(values) {
+		backoff, err := parseRetryAfter(text, date, now)
 		if err != nil {
-			unread = err
+			invalid = err
 		}
-		longest = max(longest, rest)
+		longest = max(longest, backoff)
 	}
-	return min(longest, LongestRest), unread
+	return min(longest, MaxBackoff), invalid
 }
 
-// splitRests splits values with commas, but for HTTP dates, which have one themselves.
-func splitRests(values []string) []string {
+// splitRetryAfter splits values at commas, except for HTTP dates, which contain one.
+func splitRetryAfter(values []string) []string {
 	var out []string
 	for _, value := range values {
 		if _, err := http.ParseTime(strings.TrimSpace(value)); err == nil {
@@ -52,7 +53,7 @@
 	return out
 }
 
-func parseRest(text, date string, now time.Time) (time.Duration, error) {
+func parseRetryAfter(text, date string, now time.Time) (time.Duration, error) {
 	text = strings.TrimSpace(text)
 	if until, err := http.ParseTime(text); err == nil {
 		if answered, err := http.ParseTime(date); err == nil {
@@ -61,28 +62,28 @@
 		return max(0, until.Sub(now)), nil
 	}
 	decimal := strings.IndexFunc(text, func(r rune) bool { return (r < '0' || r > '9') && r != '.' }) < 0
-	if !decimal || len(text) > longestText {
-		return 0, eris.Wrapf(ErrValue, "Retry-After %q, allowed: decimal seconds or an HTTP date", text[:min(len(text), longestText)])
+	if !decimal || len(text) > maxTextLength {
+		return 0, eris.Wrapf(ErrValue, "Retry-After %q, allowed: decimal seconds or an HTTP date", text[:min(len(text), maxTextLength)])
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return 0, eris.Wrapf(ErrValue, "Retry-After: %v", err)
 	}
-	if seconds >= LongestRest.Seconds() {
-		return LongestRest, nil
+	if seconds >= MaxBackoff.Seconds() {
+		return MaxBackoff, nil
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// Fields are the names of the header fields in which backend servers speak of themselves; a rest is
-// asked for in Retry-After.
+// Fields are the names of the header fields that carry notices. A backoff is always
+// requested in Retry-After.
 type Fields struct {
 	Limit   string // requests a second
 	Leaving string // a boolean
 }
 
-// Read reads what an answer, which came at a time, says of its backend server, but for how cold it is.
-// What cannot be read, as the error tells, says nothing.
+// Read parses the notice in an answer that arrived at the time now. It does not set Cold.
+// A part that cannot be parsed is left out and described by the error.
 func (f Fields) Read(status int, h http.Header, now time.Time) (Notice, error) {
 	var n Notice
 	var errs [3]error
@@ -94,17 +95,17 @@
 	return n, errors.Join(errs[:]...)
 }
 
-// ParseLeaving reads the values of a field in which a server says that it leaves: a boolean. Of
-// several, one that says so counts.
+// ParseLeaving parses the values of a field in which a server reports that it leaves: a
+// boolean. If there are several values, one that is true is enough.
 func ParseLeaving(values []string) (bool, error) {
 	leaving := false
-	var unread error
+	var invalid error
 	for _, value := range values {
-		said, err := strconv.ParseBool(strings.TrimSpace(value))
+		parsed, err := strconv.ParseBool(strings.TrimSpace(value))
 		if err != nil {
-			unread = eris.Wrapf(ErrValue, "%.64q, allowed: a boolean", value)
+			invalid = eris.Wrapf(ErrValue, "%.64q, allowed: a boolean", value)
 		}
-		leaving = leaving || said
+		leaving = leaving || parsed
 	}
-	return leaving, unread
+	return leaving, invalid
 }
--- a/core/notice/parse_test.go
+++ b/core/notice/parse_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// now is the time of this process in the tests, which differs from that of the server.
+// now is the time of this process in the tests. The server's clock differs from it.
 var now = time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)
 
 const (
@@ -16,7 +16,7 @@
 	in2s        = "Wed, 04 Mar 2026 05:00:02 GMT"
 )
 
-func TestForHowLongAServerAsksForRest(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	cases := []struct {
 		name   string
 		values []string
@@ -29,19 +29,19 @@
 		{"a fraction", []string{"1.2"}, "", 1200 * time.Millisecond, false},
 		{"with spaces", []string{" 0.25 "}, "", 250 * time.Millisecond, false},
 		{"zero", []string{"0"}, "", 0, false},
-		{"a day", []string{"86400"}, "", LongestRest, false},
-		{"over a day", []string{"1000000"}, "", LongestRest, false},
-		{"far over a day", []string{"99999999999999999999999"}, "", LongestRest, false},
+		{"a day", []string{"86400"}, "", MaxBackoff, false},
+		{"over a day", []string{"1000000"}, "", MaxBackoff, false},
+		{"far over a day", []string{"99999999999999999999999"}, "", MaxBackoff, false},
 		{"a date, by the server's time", []string{in3s}, serversDate, 3 * time.Second, false},
 		{"a date, without the server's time", []string{"Wed, 04 Mar 2026 05:06:09 GMT"}, "", 2 * time.Second, false},
 		{"a date, and a time that cannot be read", []string{"Wed, 04 Mar 2026 05:06:09 GMT"}, "today", 2 * time.Second, false},
 		{"a date that has passed", []string{"Tue, 03 Mar 2026 05:00:00 GMT"}, serversDate, 0, false},
-		{"a date in some years", []string{"Wed, 04 Mar 2046 05:00:00 GMT"}, serversDate, LongestRest, false},
+		{"a date in some years", []string{"Wed, 04 Mar 2046 05:00:00 GMT"}, serversDate, MaxBackoff, false},
 		{"twice", []string{"3", "2"}, "", 3 * time.Second, false},
 		{"twice in one field", []string{"1, 2"}, "", 2 * time.Second, false},
 		{"two dates", []string{in2s, in3s}, serversDate, 3 * time.Second, false},
 		{"a date and seconds", []string{in2s, "1"}, serversDate, 2 * time.Second, false},
-		{"twice, one garbled", []string{"x", "2"}, "", 2 * time.Second, true},
+		{"twice, one malformed", []string{"x", "2"}, "", 2 * time.Second, true},
 		{"empty", []string{""}, "", 0, true},
 		{"negative", []string{"-1"}, "", 0, true},
 		{"signed", []string{"+1"}, "", 0, true},
@@ -56,27 +56,27 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			rest, err := ParseRest(c.values, c.date, now)
-			is.Equal(rest, c.want)
+			backoff, err := ParseRest(c.values, c.date, now)
+			is.Equal(backoff, c.want)
 			is.Equal(err != nil, c.fails)
 		})
 	}
 }
 
-func TestWhetherAServerSaysThatItLeaves(t *testing.T) {
+func TestParseLeaving(t *testing.T) {
 	cases := []struct {
 		name   string
 		values []string
 		want   bool
 		fails  bool
 	}{
-		{"it says nothing", nil, false, false},
+		{"nothing is reported", nil, false, false},
 		{"it leaves", []string{"1"}, true, false},
 		{"in a word", []string{"true"}, true, false},
 		{"it does not", []string{"0"}, false, false},
 		{"twice", []string{"0", "1"}, true, false},
-		{"one garbled", []string{"soon", "1"}, true, true},
-		{"garbled", []string{"soon"}, false, true},
+		{"one malformed", []string{"soon", "1"}, true, true},
+		{"malformed", []string{"soon"}, false, true},
 		{"empty", []string{""}, false, true},
 	}
 	for _, c := range cases {
@@ -94,12 +94,12 @@
 		f.Add(seed, "2", serversDate)
 	}
 	f.Fuzz(func(t *testing.T, first, second, date string) {
-		rest, err := ParseRest([]string{first, second}, date, now)
-		if rest < 0 || rest > LongestRest {
-			t.Fatalf("%q, %q at %q: %s, %v", first, second, date, rest, err)
+		backoff, err := ParseRest([]string{first, second}, date, now)
+		if backoff < 0 || backoff > MaxBackoff {
+			t.Fatalf("%q, %q at %q: %s, %v", first, second, date, backoff, err)
 		}
-		if longer, _ := ParseRest([]string{first, second, "86400"}, date, now); longer != LongestRest {
-			t.Fatalf("%q, %q hide a longer rest: %s", first, second, longer)
+		if longer, _ := ParseRest([]string{first, second, "86400"}, date, now); longer != MaxBackoff {
+			t.Fatalf("%q, %q mask a longer backoff: %s", first, second, longer)
 		}
 	})
 }
--- a/core/notice/state.go
+++ b/core/notice/state.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// State is what is known of one incarnation of a backend server. It is safe for concurrent use.
+// State is the known state of one incarnation of a backend server. It is safe for
+// concurrent use.
 type State struct {
-	mu      sync.Mutex
-	rests   time.Time // until then it wants no requests, zero = it never asked
-	leaving Source    // that told so first, empty = it does not leave
+	mu           sync.Mutex
+	backoffUntil time.Time // end of the backoff, zero = none was ever requested
+	leaving      Source    // what first reported that the server leaves, empty = it does not leave
 
-	unlisted time.Time // since when it is not listed, zero = it is; under the table's lock
+	unlistedSince time.Time // since when it is not listed, zero = it is listed; guarded by the lock of the Table
 }
 
-// Source is from where something is known.
+// Source tells what reported a state.
 type Source string
 
 // Sources.
@@ -23,26 +24,27 @@
 	FromAnswer Source = "answer"
 )
 
-// Rest notes that the server wants no requests until a time. It returns the end of its rest, and
-// whether it rested before.
-func (s *State) Rest(until, now time.Time) (end time.Time, rested bool) {
+// Rest records that the server requested a backoff until the given time. It returns the
+// end of the server's backoff, and whether one was in effect before.
+func (s *State) Rest(until, now time.Time) (end time.Time, active bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rested = now.Before(s.rests)
-	if until.After(s.rests) {
-		s.rests = until
+	active = now.Before(s.backoffUntil)
+	if until.After(s.backoffUntil) {
+		s.backoffUntil = until
 	}
-	return s.rests, rested
+	return s.backoffUntil, active
 }
 
-// RestsUntil returns until when the server wants no requests; in the past if it does not rest.
+// RestsUntil returns the end of the server's backoff. It is in the past if none is in
+// effect.
 func (s *State) RestsUntil() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rests
+	return s.backoffUntil
 }
 
-// Leave notes that the server leaves, and reports whether that is new.
+// Leave records that the server leaves, and reports whether this was unknown before.
 func (s *State) Leave(from Source) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +55,7 @@
 	return true
 }
 
-// Leaving returns what told first that the server leaves, false if it does not.
+// Leaving reports whether the server leaves, and what reported it first.
 func (s *State) Leaving() (from Source, leaves bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/core/notice/state_test.go
+++ b/core/notice/state_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A shorter rest that is asked for later does not end the longer one.
-func TestARestEndsAtTheLatestOfAllEndsAskedFor(t *testing.T) {
+// A shorter backoff that is requested later must not end a longer one.
+func TestBackoffEndsAtLatestRequestedEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s State
 		var latest time.Time
@@ -21,46 +21,46 @@
 			if until.After(latest) {
 				latest = until
 			}
-			end, rested := s.Rest(until, at)
+			end, active := s.Rest(until, at)
 			if !end.Equal(latest) || !s.RestsUntil().Equal(latest) {
-				t.Fatalf("rests until %v, asked for %v", end, latest)
+				t.Fatalf("backoff until %v, requested until %v", end, latest)
 			}
-			if rested != at.Before(before) {
-				t.Fatalf("rested %v at %v, until %v", rested, at, before)
+			if active != at.Before(before) {
+				t.Fatalf("backoff in effect %v at %v, until %v", active, at, before)
 			}
 		}
 	})
 }
 
-func TestALeavingIsFinalForAnIncarnation(t *testing.T) {
+func TestLeavingIsFinalForIncarnation(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	s := table.Of(1)
 	_, leaves := s.Leaving()
 	is.True(!leaves)
 	is.True(s.Leave(FromAnswer))
-	is.True(!s.Leave(FromEntry)) // known already
+	is.True(!s.Leave(FromEntry)) // already known
 	from, leaves := table.Of(1).Leaving()
 	is.True(leaves)
 	is.Equal(from, FromAnswer)
-	_, leaves = table.Of(2).Leaving() // of another incarnation nothing is known
+	_, leaves = table.Of(2).Leaving() // nothing is known about another incarnation
 	is.True(!leaves)
 }
 
-func TestWhatIsKnownOutlivesAnEntryForAWhile(t *testing.T) {
+func TestStateOutlivesEntryForAWhile(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	table.Of(1).Leave(FromEntry)
-	table.Of(2).Rest(now.Add(keptFor+time.Minute), now)
+	table.Of(2).Rest(now.Add(stateRetention+time.Minute), now)
 	table.Of(3).Leave(FromEntry)
 	table.Unlist(1, now)
 	table.Unlist(2, now)
-	table.Expire(now.Add(keptFor - time.Second))
+	table.Expire(now.Add(stateRetention - time.Second))
 	is.Equal(len(table.states), 3)
 	table.Of(1) // it is listed again
-	table.Expire(now.Add(keptFor))
-	is.Equal(len(table.states), 3) // another one rests
-	table.Expire(now.Add(keptFor + time.Minute))
+	table.Expire(now.Add(stateRetention))
+	is.Equal(len(table.states), 3) // the backoff of another incarnation has not ended
+	table.Expire(now.Add(stateRetention + time.Minute))
 	is.Equal(len(table.states), 2)
 	_, leaves := table.Of(1).Leaving()
 	is.True(leaves)
--- a/core/notice/table.go
+++ b/core/notice/table.go
@@ -8,11 +8,12 @@
 // Key is the hash of an incarnation of a backend server.
 type Key uint64
 
-// keptFor is how long the State of an incarnation is kept after it was listed last: a store that
-// returns from a copy may list it again.
-const keptFor = 10 * time.Minute
+// stateRetention is how long the State of an incarnation is retained after it was last
+// listed: a store that is restored from a copy may list it again.
+const stateRetention = 10 * time.Minute
 
-// Table holds the State of each incarnation. It is safe for concurrent use.
+// Table holds the State of each incarnation of a backend server. It is safe for concurrent
+// use.
 type Table struct {
 	mu     sync.Mutex
 	states map[Key]*State
@@ -21,7 +22,7 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{states: make(map[Key]*State)} }
 
-// Of returns the State of an incarnation that is listed from now on.
+// Of returns the State of an incarnation and marks it as listed.
 func (t *Table) Of(server Key) *State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -30,26 +31,26 @@
 		s = &State{}
 		t.states[server] = s
 	}
-	s.unlisted = time.Time{}
+	s.unlistedSince = time.Time{}
 	return s
 }
 
-// Unlist notes that an incarnation is not listed any more.
+// Unlist marks an incarnation as no longer listed.
 func (t *Table) Unlist(server Key, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.states[server]; s != nil {
-		s.unlisted = now
+		s.unlistedSince = now
 	}
 }
 
-// Expire forgets incarnations that have not been listed for long. A rest is not forgotten before
-// its end.
+// Expire removes incarnations that have not been listed for stateRetention, unless their
+// backoff has not ended yet.
 func (t *Table) Expire(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for server, s := range t.states {
-		if !s.unlisted.IsZero() && now.Sub(s.unlisted) >= keptFor && !now.Before(s.RestsUntil()) {
+		if !s.unlistedSince.IsZero() && now.Sub(s.unlistedSince) >= stateRetention && !now.Before(s.RestsUntil()) {
 			delete(t.states, server)
 		}
 	}
--- a/core/notice/told_test.go
+++ b/core/notice/told_test.go
@@ -12,40 +12,42 @@
 	"baywall.example/core/vm"
 )
 
-// Whether gateways tell each other of a rest, or each learns it for itself, in simulated time with
-// the product's own heartbeats: a server turns away either all requests, or those of one gateway
-// from which it had too much.
+// This test compares two policies for backoffs in simulated time, with the production
+// heartbeats: gateways report backoffs to each other, or each gateway learns of them from
+// a refusal of its own. The server refuses either all requests, or only those of one
+// gateway that sent it too many.
 
 const (
-	simTick = 20 * time.Millisecond
-	simRest = 3 * time.Second
-	// meetingTime is for how long a fleet meets first.
+	simTick    = 20 * time.Millisecond
+	simBackoff = 3 * time.Second
+	// meetingTime is how long the gateways discover each other before the test.
 	meetingTime = 4 * time.Second
 )
 
-// scenario is one way and one load, played beside the others over the same heartbeats.
+// scenario is one policy and one load. All scenarios run in parallel over the same
+// heartbeats.
 type scenario struct {
-	perSecond float64 // requests to the server from each active gateway
-	tell      bool    // gateways tell each other of the rest
-	onlyOne   bool    // the server turns away those of the first gateway only
+	perSecond float64 // requests a second to the server from each active gateway
+	share     bool    // gateways report backoffs to each other
+	onlyOne   bool    // the server refuses only requests of the first gateway
 }
 
-// simView is what a gateway knows and does in one scenario.
+// simView is the state of a gateway in one scenario.
 type simView struct {
-	state  State
-	told   bool // that the server rests
-	turned int  // requests of it that the server turned away
-	idle   int  // requests that it did not send though the server would have taken them
+	state    State
+	knows    bool // whether it knows of the backoff
+	refusals int  // its requests that the server refused
+	idle     int  // requests that it did not send although the server would have accepted them
 }
 
-// simMember is a gateway before the server.
+// simMember is a simulated gateway.
 type simMember struct {
 	table *cluster.Table
 	self  cluster.Self
 	views []simView // by scenario
 }
 
-// simFleet is gateways that know each other.
+// simFleet is a fleet of gateways that know each other.
 type simFleet struct {
 	members   map[string]*simMember // by address
 	order     []*simMember
@@ -54,7 +56,8 @@
 	scenarios []scenario
 }
 
-// newSimFleet returns a fleet in which all are active, or a tenth from 100 on.
+// newSimFleet returns a fleet of n gateways. All of them are active, or a tenth if there
+// are 100 or more.
 func newSimFleet(n int, scenarios []scenario) *simFleet {
 	f := &simFleet{members: make(map[string]*simMember), rnd: rand.New(rand.NewPCG(uint64(n), 1)), now: time.Unix(1000, 0), scenarios: scenarios}
 	address := func(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/200, i%200) }
@@ -73,7 +76,8 @@
 	return f
 }
 
-// beat sends what is due. Who hears a gateway that knows of the rest is told.
+// beat sends the heartbeats that are due. A gateway that knows of the backoff reports it
+// to those that receive its heartbeats.
 func (f *simFleet) beat() {
 	f.now = f.now.Add(simTick)
 	for _, m := range f.order {
@@ -85,29 +89,30 @@
 			}
 			to.table.Receive(d.Heartbeat, f.now)
 			for i := range to.views {
-				to.views[i].told = to.views[i].told || m.views[i].told
+				to.views[i].knows = to.views[i].knows || m.views[i].knows
 			}
 		}
 	}
 }
 
-// request has a gateway decide on one request to the server in a scenario.
+// request decides in one scenario whether the gateway sends one request, and records the
+// result.
 func (v *simView) request(s scenario, refused bool, end, now time.Time) {
 	switch {
 	case now.Before(v.state.RestsUntil()):
-	case s.tell && v.told && refused:
-	case s.tell && v.told:
+	case s.share && v.knows && refused:
+	case s.share && v.knows:
 		v.idle++
 	case refused:
-		v.turned++
+		v.refusals++
 		v.state.Rest(end, now)
-		v.told = true
+		v.knows = true
 	}
 }
 
-// rest plays one rest.
-func (f *simFleet) rest() {
-	for end := f.now.Add(simRest); f.now.Before(end); f.beat() {
+// runBackoff simulates one backoff.
+func (f *simFleet) runBackoff() {
+	for end := f.now.Add(simBackoff); f.now.Before(end); f.beat() {
 		for i, m := range f.order {
 			for k, s := range f.scenarios {
 				if m.self.Active && f.rnd.Float64() < s.perSecond*simTick.Seconds() {
@@ -118,33 +123,34 @@
 	}
 }
 
-// sums returns how many requests were turned away in a scenario, and how many not sent for nothing.
-func (f *simFleet) sums(k int) (turned, idle int) {
+// sums returns how many requests were refused in a scenario, and how many were withheld
+// without need.
+func (f *simFleet) sums(k int) (refusals, idle int) {
 	for _, m := range f.order {
-		turned += m.views[k].turned
+		refusals += m.views[k].refusals
 		idle += m.views[k].idle
 	}
-	return turned, idle
+	return refusals, idle
 }
 
-func TestRestsThatAreToldComparedWithThoseThatEachGatewayLearns(t *testing.T) {
+func TestReportedAndLearnedBackoffsCompared(t *testing.T) {
 	for _, n := range []int{7, 30, 254} {
 		f := newSimFleet(n, []scenario{
 			{perSecond: 0.5},
-			{perSecond: 0.5, tell: true},
-			{perSecond: 0.5, tell: true, onlyOne: true},
+			{perSecond: 0.5, share: true},
+			{perSecond: 0.5, share: true, onlyOne: true},
 			{perSecond: 10},
-			{perSecond: 10, tell: true},
-			{perSecond: 10, tell: true, onlyOne: true},
+			{perSecond: 10, share: true},
+			{perSecond: 10, share: true, onlyOne: true},
 		})
-		f.rest()
+		f.runBackoff()
 		for k := 0; k < len(f.scenarios); k += 3 {
 			learned, _ := f.sums(k)
-			told, _ := f.sums(k + 1)
+			reported, _ := f.sums(k + 1)
 			_, idle := f.sums(k + 2)
-			t.Logf("%3d gateways, %4.1f requests a second each: turned away %2d if each learns, %2d if told; not sent to a server that would take them: 0, %d",
-				n, f.scenarios[k].perSecond, learned, told, idle)
-			is.New(t).True(learned <= (n+9)/10 || n < 100 && learned <= n) // one each that is active, at most
+			t.Logf("%3d gateways, %4.1f requests a second each: refused %2d if each gateway learns, %2d if reported; withheld without need: 0, %d",
+				n, f.scenarios[k].perSecond, learned, reported, idle)
+			is.New(t).True(learned <= (n+9)/10 || n < 100 && learned <= n) // at most one for each active gateway
 		}
 	}
 }
