--- a/core/cluster/attend.go
+++ b/core/cluster/attend.go
@@ -56,8 +56,8 @@
 	at       time.Time
 }
 
-// Attend enables monitoring: the member monitors others and is monitored itself. It must
-// be called before all other methods.
+// Attend makes the member monitor others and be monitored itself. It must be called before
+// all other methods.
 func (t *Table) Attend() {
 	t.monitoring = monitoring{enabled: true, reports: make(map[string]lossReport)}
 }
--- a/core/cluster/node.go
+++ b/core/cluster/node.go
@@ -173,7 +173,8 @@
 	}
 }
 
-// Attend enables monitoring, see Table.Attend. It must be called before Run.
+// Attend makes the node monitor others and be monitored itself. It must be called before
+// Run.
 func (n *Node) Attend() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/core/cluster/pace.go
+++ b/core/cluster/pace.go
@@ -17,7 +17,7 @@
 // several reports, as datagrams may be lost.
 const slowdownLifetime = 500 * time.Millisecond
 
-// Pace is the slowdown of a rank.
+// Pace reports how slow a rank is.
 type Pace struct {
 	Engine string // address of the backend server, IP:port
 	// Pace is the duration of a step relative to the usual duration.
