--- a/core/contract/contract.go
+++ b/core/contract/contract.go
@@ -1,5 +1,6 @@
-// Package contract holds what was promised for one request: who owns it, how
-// often it may run, until when, and how it ended.
+// Package contract defines the types that describe one request and its execution
+// guarantee: its identity and attempts, whether it may run more than once, its deadline,
+// the ticket of a non-idempotent request, and the outcome of a refused one.
 package contract
 
 import (
@@ -11,11 +12,11 @@
 	"baywall.example/core/wire"
 )
 
-// RequestID identifies one request; an entry VM makes a new one for each.
+// RequestID identifies one request; the entry VM generates it.
 type RequestID string
 
 // AttemptID identifies one attempt at a request. Every message about the
-// attempt carries it, and both ends check it.
+// attempt carries it, and both peers check it.
 type AttemptID struct {
 	Request RequestID
 	Number  uint32 // counts from 1
@@ -24,17 +25,17 @@
 // String returns "request#number".
 func (a AttemptID) String() string { return fmt.Sprintf("%s#%d", a.Request, a.Number) }
 
-// Outcome is how a request that got no answer ended.
+// Outcome tells whether a request that was refused may have run.
 type Outcome string
 
-// Outcomes of a refusal. NotRun is a promise: no backend server was given the
-// request, and none will be. Unknown means that it may have run.
+// Outcomes of a refusal. NotRun guarantees that no backend server has received or will
+// receive the request. Unknown means that it may have run.
 const (
 	NotRun  Outcome = "not-run"
 	Unknown Outcome = "unknown"
 )
 
-// Wire returns the outcome as it travels on a link.
+// Wire converts the outcome to its protobuf value.
 func (o Outcome) Wire() wire.Outcome {
 	if o == NotRun {
 		return wire.Outcome_OUTCOME_NOT_RUN
@@ -42,7 +43,8 @@
 	return wire.Outcome_OUTCOME_UNKNOWN
 }
 
-// OutcomeFromWire reads an outcome; anything but a clear not-run is Unknown.
+// OutcomeFromWire converts a protobuf value; every value other than
+// OUTCOME_NOT_RUN becomes Unknown.
 func OutcomeFromWire(o wire.Outcome) Outcome {
 	if o == wire.Outcome_OUTCOME_NOT_RUN {
 		return NotRun
@@ -50,10 +52,10 @@
 	return Unknown
 }
 
-// Reason is a short machine-readable cause of a refusal.
+// Reason is the machine-readable cause of a refusal.
 type Reason string
 
-// Reasons that callers may see.
+// Reasons that callers may see in the Baywall-Reason header.
 const (
 	ReasonNoBackend       Reason = "no-backend"
 	ReasonUnknownService  Reason = "unknown-service"
@@ -83,20 +85,20 @@
 	ReasonEvacuated       Reason = "evacuated"
 )
 
-// Refusal is the truthful end of a request that gets no answer.
+// Refusal reports why a request got no answer and whether it may have run.
 type Refusal struct {
 	Outcome    Outcome
 	Reason     Reason
-	RetryAfter time.Duration // when the caller may come back, 0 = no advice
-	// EngineEnd is set by agents: the number of the end of their engine under the
-	// attempt, 0 = it has not ended.
+	RetryAfter time.Duration // how long the caller should wait before a retry, 0 = unspecified
+	// EngineEnd is set by agents when their engine terminated during the attempt: the
+	// sequence number of that termination, 0 = the engine did not terminate.
 	EngineEnd uint64
 }
 
-// Error makes a Refusal an error.
+// Error implements the error interface.
 func (r *Refusal) Error() string { return fmt.Sprintf("%s: %s", r.Outcome, r.Reason) }
 
-// Contract is what an entry VM promised for one request.
+// Contract holds the terms under which an entry VM accepted one request.
 type Contract struct {
 	Request    RequestID
 	Service    string
@@ -107,9 +109,9 @@
 	Ticket     *Ticket
 }
 
-// Ticket allows one non-idempotent request to run on one incarnation of one
-// agent. The nonce is used once; resending the request with the same ticket
-// joins the first execution instead of starting a second one.
+// Ticket permits one execution of a non-idempotent request on one incarnation of one
+// agent. Its nonce is accepted once; a request that is resent with the same ticket
+// attaches to the first execution instead of starting a second one.
 type Ticket struct {
 	Service     string
 	VM          vm.ID
@@ -119,8 +121,8 @@
 	Expires     time.Time
 }
 
-// HopByHop reports whether a header field concerns one connection only and is
-// not passed on (RFC 9110, section 7.6.1).
+// HopByHop reports whether a header field is hop-by-hop and must not be forwarded
+// (RFC 9110, section 7.6.1).
 func HopByHop(name string) bool {
 	switch http.CanonicalHeaderKey(name) {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
--- a/core/contract/ticket.go
+++ b/core/contract/ticket.go
@@ -11,13 +11,13 @@
 	"baywall.example/core/wire"
 )
 
-// maxTicketLength bounds the text form of a ticket, in bytes.
+// maxTicketLength is the maximum length of an encoded ticket, in bytes.
 const maxTicketLength = 512
 
-// ErrTicket is the root of all errors about a malformed ticket.
+// ErrTicket is wrapped by every error about a malformed ticket.
 var ErrTicket = eris.New("contract: malformed ticket")
 
-// Wire returns the ticket as it travels on a link.
+// Wire converts the ticket to its protobuf message.
 func (t Ticket) Wire() *wire.Ticket {
 	return &wire.Ticket{
 		Vm:            string(t.VM),
@@ -29,7 +29,7 @@
 	}
 }
 
-// TicketFromWire reads a ticket from a link message.
+// TicketFromWire converts a protobuf message to a ticket.
 func TicketFromWire(w *wire.Ticket) Ticket {
 	return Ticket{
 		Service:     w.GetService(),
@@ -41,19 +41,19 @@
 	}
 }
 
-// String returns the text form that callers carry in a header.
+// String returns the base64url form that callers send in a header.
 func (t Ticket) String() string {
 	raw, err := proto.Marshal(t.Wire())
 	if err != nil {
-		return "" // only invalid UTF-8 in a name can fail; settings forbid it
+		return "" // fails only on invalid UTF-8 in a name, which the settings forbid
 	}
 	return base64.RawURLEncoding.EncodeToString(raw)
 }
 
-// ParseTicket reads the text form of a ticket.
+// ParseTicket decodes a ticket from the form that String returns.
 func ParseTicket(s string) (Ticket, error) {
 	if len(s) > maxTicketLength {
-		return Ticket{}, eris.Wrapf(ErrTicket, "%d bytes, at most %d", len(s), maxTicketLength)
+		return Ticket{}, eris.Wrapf(ErrTicket, "%d bytes, the maximum is %d", len(s), maxTicketLength)
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(s)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	t := TicketFromWire(&w)
 	if t.VM == "" || t.Nonce == "" || t.Service == "" {
-		return Ticket{}, eris.Wrap(ErrTicket, "names no VM, nonce or service")
+		return Ticket{}, eris.Wrap(ErrTicket, "VM, nonce or service is missing")
 	}
 	return t, nil
 }
--- a/core/contract/ticket_test.go
+++ b/core/contract/ticket_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestTicketTextForm(t *testing.T) {
+func TestTicketEncodingRoundTrip(t *testing.T) {
 	is := is.New(t)
 	want := Ticket{Service: "s", VM: "a", Incarnation: 7, Nonce: "n", Issued: time.UnixMilli(5), Expires: time.UnixMilli(9)}
 	got, err := ParseTicket(want.String())
@@ -15,8 +15,8 @@
 	is.Equal(got, want)
 }
 
-// FuzzParseTicket checks that any header value is read or refused, and that
-// what is read is complete.
+// FuzzParseTicket checks that any header value is decoded or rejected without a panic,
+// and that a decoded ticket has all its fields.
 func FuzzParseTicket(f *testing.F) {
 	f.Add(Ticket{Service: "s", VM: "a", Nonce: "n"}.String())
 	f.Add("not a ticket")
--- a/core/resource/file.go
+++ b/core/resource/file.go
@@ -9,14 +9,14 @@
 	"baywall.example/core/settings"
 )
 
-// file is a resource as written in a file, in YAML or JSON.
+// file is the form of a resource in a YAML or JSON file.
 type file[S any] struct {
 	Kind string `yaml:"kind"`
 	Name string `yaml:"name"`
 	Spec S      `yaml:"spec"`
 }
 
-// Validate returns every wrong value of the file.
+// Validate returns every invalid value in the file.
 func (f *file[S]) Validate() []settings.Problem {
 	var c settings.Checks
 	if !validName(f.Name) {
@@ -34,8 +34,8 @@
 	return c.Problems
 }
 
-// CheckFile validates a file that holds one resource: kind, name and spec. The
-// error names file, line, field, value and what is allowed.
+// CheckFile validates a file that holds one resource: kind, name and spec. The error
+// gives the file, line, field, value and the allowed values.
 func CheckFile(path string) (Key, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/core/resource/resource.go
+++ b/core/resource/resource.go
@@ -18,7 +18,7 @@
 // Kind is the type of a resource.
 type Kind string
 
-// Kinds of resources, named as in the resource interface's paths.
+// Kinds of resources; the values are path elements of the resource API.
 const (
 	KindService Kind = "services"
 	KindTeam    Kind = "teams"
@@ -26,10 +26,10 @@
 	KindGroup   Kind = "groups"
 )
 
-// Kinds lists every kind, in the order in which status pages show them.
+// Kinds returns every kind, in the order of the status pages.
 func Kinds() []Kind { return []Kind{KindService, KindTeam, KindIntent, KindGroup} }
 
-// ErrInvalid is the root of every error about a resource's content.
+// ErrInvalid is wrapped by every error about a resource's content.
 var ErrInvalid = eris.New("resource: invalid")
 
 // Key names one resource.
@@ -44,26 +44,26 @@
 // String returns "kind/name".
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
-// Millis is a duration that is written as a whole number of milliseconds.
+// Millis is a duration that is encoded as a whole number of milliseconds.
 type Millis int64
 
 // Duration returns the value as a time.Duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Service is something that callers can reach by name.
+// Service is a named target of requests, served by a set of runners.
 type Service struct {
-	// Engine tells that the runners are model engines with SSE answers and
-	// load reports. Default false: plain HTTP services.
+	// Engine is true if the runners are model engines, which answer with server-sent
+	// events and report their load. Default false: plain HTTP services.
 	Engine bool `json:"engine" yaml:"engine"`
 	// NonIdempotent marks every request of the service that is not a GET or
 	// HEAD as one that may run at most once. Default false.
 	NonIdempotent bool `json:"non_idempotent" yaml:"non_idempotent"`
-	// DeadlineMS bounds one request, in milliseconds. Default 60000.
+	// DeadlineMS is the longest duration of one request, in milliseconds. Default 60000.
 	DeadlineMS Millis `json:"deadline_ms" yaml:"deadline_ms"`
-	// RunnerConcurrency is how many requests one runner takes at a time.
+	// RunnerConcurrency is how many requests one runner executes concurrently.
 	// Default 64.
 	RunnerConcurrency int `json:"runner_concurrency" yaml:"runner_concurrency"`
-	// EntrySubset is how many entry VMs callers are told of. Default 4.
+	// EntrySubset is how many entry VMs are returned to each caller. Default 4.
 	EntrySubset int `json:"entry_subset" yaml:"entry_subset"`
 }
 
@@ -75,10 +75,10 @@
 	maxDeadline              = Millis(3_600_000)
 )
 
-// Policy names a balancing strategy.
+// Policy names a load-balancing policy.
 type Policy string
 
-// Balancing strategies.
+// Load-balancing policies.
 const (
 	PolicyAffinity   Policy = "affinity"
 	PolicyRoundRobin Policy = "round-robin"
@@ -86,22 +86,23 @@
 	PolicyTwoChoices Policy = "two-choices"
 )
 
-// Intent is a routing intent: how requests of one service are spread and how
-// much a better expert map may cost.
+// Intent is a routing intent: how the requests of one service are balanced, and how much
+// a new expert map must improve on the current one.
 type Intent struct {
 	// Service is the service the intent applies to. Required.
 	Service string `json:"service" yaml:"service"`
-	// Policy is the balancing strategy. Default: affinity for model engines,
+	// Policy is the load-balancing policy. Default: affinity for model engines,
 	// two-choices for plain services, which have no prompt prefix.
 	Policy Policy `json:"policy" yaml:"policy"`
-	// LoadFactor bounds a runner's load as a multiple of the mean before the
-	// affinity policy passes it over. From 1 to 10, default 1.25.
+	// LoadFactor is the load, as a multiple of the mean, above which the affinity
+	// policy skips a runner. From 1 to 10, default 1.25.
 	LoadFactor float64 `json:"load_factor" yaml:"load_factor"`
-	// MoveCost is the skew reduction in its layer that one expert move has to
-	// bring. From 0 to 10, default 0.01. Small: less skew. Large: fewer moves.
+	// MoveCost is the reduction of skew in its layer that justifies moving one
+	// expert. A smaller value gives less skew, a larger one fewer moves. From 0 to 10,
+	// default 0.01.
 	MoveCost float64 `json:"move_cost" yaml:"move_cost"`
-	// PeriodMS is the time between two plans of an expert map, in
-	// milliseconds. From 100, default 5000.
+	// PeriodMS is the interval at which the expert map is planned, in milliseconds.
+	// From 100, default 5000.
 	PeriodMS Millis `json:"period_ms" yaml:"period_ms"`
 }
 
@@ -116,12 +117,12 @@
 
 // Team is a customer of a service with its limits.
 type Team struct {
-	// Concurrency is how many requests the team may have running in the whole
+	// Concurrency is how many requests the team may run concurrently across the
 	// fleet. From 1, default 64.
 	Concurrency int `json:"concurrency" yaml:"concurrency"`
-	// RequestsPerSecond is the team's rate over the whole fleet, 0 = no limit.
+	// RequestsPerSecond is the team's rate limit across the fleet, 0 = no limit.
 	RequestsPerSecond float64 `json:"requests_per_second" yaml:"requests_per_second"`
-	// Priority is passed to the engines; larger is more urgent. From -10 to
+	// Priority is passed to the engines; a larger value is more urgent. From -10 to
 	// 10, default 0.
 	Priority int `json:"priority" yaml:"priority"`
 }
@@ -131,7 +132,7 @@
 
 // Group is an expert-parallel group of ranks that share one expert map.
 type Group struct {
-	// Service is the service whose runners the ranks are. Required.
+	// Service is the service whose runners form the group. Required.
 	Service string `json:"service" yaml:"service"`
 	// Ranks are the VMs of the ranks in rank order, at least 1. Required.
 	Ranks []vm.ID `json:"ranks" yaml:"ranks"`
@@ -143,11 +144,11 @@
 	SlotsPerRank int `json:"slots_per_rank" yaml:"slots_per_rank"`
 	// ExpertBytes is the size of one expert's weights, in bytes. Default 0.
 	ExpertBytes int64 `json:"expert_bytes" yaml:"expert_bytes"`
-	// MaxNewExperts is how many experts of a layer a rank can load for one
-	// switch. Default 0: any number.
+	// MaxNewExperts is how many experts of a layer a rank can load for one map
+	// switch. Default 0: no limit.
 	MaxNewExperts int `json:"max_new_experts,omitempty" yaml:"max_new_experts"`
-	// MaxNewTotal is how many experts of all layers together a rank should load
-	// for one switch, which bounds its time. Default 0: any number.
+	// MaxNewTotal is how many experts, summed over all layers, a rank should load for
+	// one map switch, which bounds the duration of the switch. Default 0: no limit.
 	MaxNewTotal int `json:"max_new_total,omitempty" yaml:"max_new_total"`
 }
 
@@ -164,7 +165,7 @@
 type Spec interface {
 	// Provision fills in the defaults.
 	Provision()
-	// Validate returns every problem of the provisioned content.
+	// Validate returns every problem in the provisioned content.
 	Validate() []settings.Problem
 }
 
@@ -175,7 +176,7 @@
 	s.EntrySubset = settings.Or(s.EntrySubset, DefaultEntrySubset)
 }
 
-// Validate returns every problem of the provisioned content.
+// Validate returns every problem in the provisioned content.
 func (s *Service) Validate() []settings.Problem {
 	var c settings.Checks
 	c.Int("deadline_ms", int(s.DeadlineMS), 1, int(maxDeadline))
@@ -191,7 +192,7 @@
 	i.PeriodMS = settings.Or(i.PeriodMS, DefaultPeriod)
 }
 
-// Validate returns every problem of the provisioned content.
+// Validate returns every problem in the provisioned content.
 func (i *Intent) Validate() []settings.Problem {
 	var c settings.Checks
 	c.Require("service", i.Service)
@@ -207,7 +208,7 @@
 	t.Concurrency = settings.Or(t.Concurrency, DefaultConcurrency)
 }
 
-// Validate returns every problem of the provisioned content.
+// Validate returns every problem in the provisioned content.
 func (t *Team) Validate() []settings.Problem {
 	var c settings.Checks
 	c.Int("concurrency", t.Concurrency, 1, maxConcurrency)
@@ -219,7 +220,7 @@
 // Provision fills in the defaults; a group has none.
 func (g *Group) Provision() {}
 
-// Validate returns every problem of the provisioned content.
+// Validate returns every problem in the provisioned content.
 func (g *Group) Validate() []settings.Problem {
 	var c settings.Checks
 	c.Require("service", g.Service)
@@ -256,8 +257,8 @@
 	}
 }
 
-// Decode reads a resource's JSON strictly, fills in defaults and validates it.
-// The error names every wrong field with its value and allowed range.
+// Decode decodes a resource's JSON, fills in defaults and validates it. Unknown fields
+// are errors. The error gives the first invalid field with its value and allowed range.
 func Decode(key Key, raw []byte) (Spec, error) {
 	spec := New(key.Kind)
 	if spec == nil {
--- a/core/resource/resource_test.go
+++ b/core/resource/resource_test.go
@@ -63,8 +63,8 @@
 	is.Equal(key, Key{KindTeam, "t"})
 }
 
-// FuzzDecode checks that what is accepted is within its ranges, and that
-// nothing makes decoding panic.
+// FuzzDecode checks that an accepted resource validates, and that no input makes Decode
+// panic.
 func FuzzDecode(f *testing.F) {
 	f.Add("teams", "t", []byte(`{"concurrency": 3}`))
 	f.Add("services", "s", []byte(`{"engine": true, "deadline_ms": 1}`))
@@ -73,7 +73,7 @@
 	f.Fuzz(func(t *testing.T, kind, name string, raw []byte) {
 		spec, err := Decode(Key{Kind(kind), name}, raw)
 		if err == nil && len(spec.Validate()) > 0 {
-			t.Fatal("accepted what does not validate")
+			t.Fatal("Decode accepted a resource that does not validate")
 		}
 	})
 }
