--- a/core/configuration/authorize.go
+++ b/core/configuration/authorize.go
@@ -11,29 +11,29 @@
 	"baywall.example/core/wire"
 )
 
-// Authorize accepts a link only from a VM on the list, with its listed role
-// and from its listed IP. Before a process has a list it cannot check anybody,
-// and accepts all: it needs a link to get the list.
+// Authorize accepts a link only from a listed VM, with its listed role and from its listed
+// IP. A process that has no list yet accepts every link, because it may need a link to
+// receive the list.
 func Authorize(list vm.List, h *wire.Hello, remote net.Addr) error {
 	if list.Revision == 0 {
 		return nil
 	}
 	v, ok := list.Find(vm.ID(h.GetVm()))
 	if !ok {
-		return eris.Wrapf(link.ErrUnauthorized, "%s is not on the list", h.GetVm())
+		return eris.Wrapf(link.ErrUnauthorized, "%s is not on the list of VMs", h.GetVm())
 	}
 	if string(v.Role) != h.GetRole() {
-		return eris.Wrapf(link.ErrUnauthorized, "%s says it is %q, listed as %q", v.ID, h.GetRole(), v.Role)
+		return eris.Wrapf(link.ErrUnauthorized, "%s claims role %q, listed as %q", v.ID, h.GetRole(), v.Role)
 	}
 	listed, _, _ := net.SplitHostPort(v.Link)
 	actual, _, _ := net.SplitHostPort(remote.String())
 	if listed != actual {
-		return eris.Wrapf(link.ErrUnauthorized, "%s links from %s, listed at %s", v.ID, actual, listed)
+		return eris.Wrapf(link.ErrUnauthorized, "%s connects from %s, listed at %s", v.ID, actual, listed)
 	}
 	return nil
 }
 
-// RecordChanges writes a time line event for each changed resource.
+// RecordChanges records a timeline event for each changed resource.
 func RecordChanges(r *timeline.Recorder, changes []Status) {
 	for _, c := range changes {
 		kind, reason := timeline.KindConfig, ""
--- a/core/configuration/store.go
+++ b/core/configuration/store.go
@@ -10,31 +10,31 @@
 	"baywall.example/core/vm"
 )
 
-// maxTombstones bounds the deletions that a Store remembers.
+// maxTombstones is the largest number of tombstones that a Store retains.
 const maxTombstones = 4096
 
-// Record is one version of one resource as the platform or a peer tells it.
+// Record is one version of one resource, as received from the platform or a peer.
 type Record struct {
 	Key      resource.Key
 	Revision uint64 // of Spec
-	Spec     []byte // JSON, nil if there never was a good version
+	Spec     []byte // JSON, nil if no version was ever valid
 	Deleted  bool
-	// RejectedRevision is that of a newer version which did not validate.
+	// RejectedRevision is the revision of a newer version that did not validate.
 	RejectedRevision uint64
 	RejectedReason   string
 }
 
-// latest returns the largest revision the record speaks of.
+// latest returns the larger of Revision and RejectedRevision.
 func (r Record) latest() uint64 { return max(r.Revision, r.RejectedRevision) }
 
-// Batch is a set of records known at one revision of the whole.
+// Batch is a set of records at one revision of the configuration.
 type Batch struct {
 	Revision uint64
-	Full     bool // Records is everything; what is missing was deleted
+	Full     bool // Records is complete; missing resources were deleted
 	Records  []Record
 }
 
-// Status tells how far one resource got in this process.
+// Status reports which version of a resource is in force and which was rejected.
 type Status struct {
 	Key              resource.Key
 	Revision         uint64 // in force, 0 if none
@@ -42,20 +42,20 @@
 	RejectedReason   string
 }
 
-// View is the configuration in force at one moment. It is never changed after
-// it was published, so readers need no lock.
+// View is a snapshot of the configuration in force. It is immutable once published, so
+// readers need no lock.
 type View struct {
 	Revision uint64
 	Services map[string]*resource.Service
 	Intents  map[string]*resource.Intent // by service
 	Groups   map[string]*resource.Group
 
-	versions map[resource.Key]uint64 // of all but teams
+	versions map[resource.Key]uint64 // of all resources except teams
 	teams    [teamShards]map[string]teamVersion
 }
 
-// teamShards is in how many maps a View holds its teams. A change of one team
-// copies one of them.
+// teamShards is the number of maps over which a View spreads its teams. A change of one
+// team rebuilds only one of them.
 const teamShards = 256
 
 // teamVersion is a team with its revision.
@@ -66,10 +66,10 @@
 
 func teamShard(name string) uint64 { return rendezvous.Hash(name) % teamShards }
 
-// Team returns a team, nil if there is none.
+// Team returns the team with the given name, nil if there is none.
 func (v *View) Team(name string) *resource.Team { return v.teams[teamShard(name)][name].team }
 
-// Version returns the revision in force of a resource, 0 if there is none.
+// Version returns the revision of a resource that is in force, 0 if there is none.
 func (v *View) Version(key resource.Key) uint64 {
 	if key.Kind == resource.KindTeam {
 		return v.teams[teamShard(key.Name)][key.Name].revision
@@ -77,7 +77,8 @@
 	return v.versions[key]
 }
 
-// Digests summarise every version in force, so that peers find differences.
+// Digests are hashes over all versions in force, which peers compare to detect
+// differences.
 type Digests struct {
 	Core  uint64 // services, intents and groups
 	Teams uint64
@@ -88,33 +89,33 @@
 	withoutTeams bool
 	view         atomic.Pointer[View]
 
-	mu         sync.Mutex
-	revision   uint64
-	records    map[resource.Key]*entry
-	tombstones int
-	floor      uint64 // deletions up to this revision may be forgotten
-	digests    Digests
-	changed    chan struct{}
-	dirty      [teamShards]bool // shards of teams that changed since publish
+	mu                sync.Mutex
+	revision          uint64
+	records           map[resource.Key]*entry
+	tombstones        int
+	compactedRevision uint64 // tombstones up to this revision may have been dropped
+	digests           Digests
+	changed           chan struct{}
+	dirty             [teamShards]bool // team shards that changed since the last publish
 }
 
-// entry is a record whose content is kept decoded only.
+// entry is a record that holds its content only in decoded form.
 type entry struct {
 	Record
-	spec resource.Spec // nil if deleted or never good
+	spec resource.Spec // nil if deleted or never valid
 }
 
-// full returns the record with its content encoded.
+// full returns the record with its content encoded as JSON.
 func (e *entry) full() Record {
 	r := e.Record
 	if e.spec != nil {
-		r.Spec, _ = json.Marshal(e.spec) // plain structs always encode
+		r.Spec, _ = json.Marshal(e.spec) // cannot fail: specs are plain structs
 	}
 	return r
 }
 
-// NewStore returns an empty store. One without teams ignores team records,
-// for agents, which have no use for them.
+// NewStore returns an empty store. If withoutTeams is set it ignores team records, which
+// agents do not use.
 func NewStore(withoutTeams bool) *Store {
 	s := &Store{
 		withoutTeams: withoutTeams,
@@ -137,7 +138,7 @@
 // View returns the configuration in force.
 func (s *Store) View() *View { return s.view.Load() }
 
-// Revision returns the largest revision of the whole that was applied.
+// Revision returns the largest configuration revision that was applied.
 func (s *Store) Revision() uint64 { return s.View().Revision }
 
 // Digest returns the digests of the versions in force.
@@ -154,18 +155,18 @@
 	return s.changed
 }
 
-// Apply folds a batch into the store. It returns the statuses of the resources
-// whose version or rejection changed; an empty result means nothing did.
+// Apply merges a batch into the store. It returns the status of each resource whose
+// version or rejection changed; the result is empty if none did.
 func (s *Store) Apply(b Batch) []Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var changes []Status
 	for _, rec := range b.Records {
-		rec.Key.Kind = canonical(rec.Key.Kind)
+		rec.Key.Kind = canonicalKind(rec.Key.Kind)
 		if s.withoutTeams && rec.Key.Kind == resource.KindTeam {
 			continue
 		}
-		if s.fold(rec) {
+		if s.merge(rec) {
 			changes = append(changes, s.statusOf(rec.Key))
 		}
 	}
@@ -180,15 +181,15 @@
 	return changes
 }
 
-// fold merges one record and reports whether anything changed.
-func (s *Store) fold(rec Record) bool {
+// merge applies one record to its entry and reports whether the entry changed.
+func (s *Store) merge(rec Record) bool {
 	old := s.records[rec.Key]
 	if old == nil {
 		old = &entry{Record: Record{Key: rec.Key}}
 	}
 	next := *old
 	if rec.Revision > old.Revision {
-		s.foldVersion(&next, rec)
+		s.mergeVersion(&next, rec)
 	}
 	if rec.RejectedRevision > next.latest() {
 		next.RejectedRevision = rec.RejectedRevision
@@ -205,7 +206,7 @@
 	return true
 }
 
-func (s *Store) foldVersion(next *entry, rec Record) {
+func (s *Store) mergeVersion(next *entry, rec Record) {
 	if rec.Deleted {
 		next.Revision, next.spec, next.Deleted = rec.Revision, nil, true
 		return
@@ -224,9 +225,9 @@
 	next.Revision, next.spec, next.Deleted = rec.Revision, spec, false
 }
 
-// canonical returns the constant for a known kind, so that thousands of
-// resources share one string.
-func canonical(k resource.Kind) resource.Kind {
+// canonicalKind returns the constant for a known kind, so that thousands of resources
+// share one string.
+func canonicalKind(k resource.Kind) resource.Kind {
 	for _, known := range resource.Kinds() {
 		if k == known {
 			return known
@@ -235,7 +236,7 @@
 	return k
 }
 
-// replace swaps an entry and keeps digests and the tombstone count in step.
+// replace stores an entry and updates the digests and the tombstone count.
 func (s *Store) replace(old, next *entry) {
 	digest := &s.digests.Core
 	if next.Key.Kind == resource.KindTeam {
@@ -251,12 +252,12 @@
 	}
 	s.records[next.Key] = next
 	if s.tombstones > maxTombstones {
-		s.forgetTombstones()
+		s.dropTombstones()
 	}
 }
 
-// versionHash hashes a resource and its version in force; a resource without
-// one, and a deleted one, hash to 0, so that forgotten tombstones do not count.
+// versionHash hashes a resource and its version in force. A resource that has none or is
+// deleted hashes to 0, so that dropping a tombstone does not change the digest.
 func versionHash(r Record) uint64 {
 	if r.Revision == 0 || r.Deleted {
 		return 0
@@ -264,10 +265,10 @@
 	return rendezvous.Weight(rendezvous.Hash(r.Key.String()), r.Revision)
 }
 
-func (s *Store) forgetTombstones() {
+func (s *Store) dropTombstones() {
 	for key, e := range s.records {
 		if e.Deleted && e.RejectedRevision == 0 {
-			s.floor = max(s.floor, e.Revision)
+			s.compactedRevision = max(s.compactedRevision, e.Revision)
 			delete(s.records, key)
 		}
 	}
@@ -285,14 +286,14 @@
 		if ok || e.Deleted || e.latest() > b.Revision {
 			continue
 		}
-		s.fold(Record{Key: key, Revision: b.Revision, Deleted: true})
+		s.merge(Record{Key: key, Revision: b.Revision, Deleted: true})
 		changes = append(changes, s.statusOf(key))
 	}
 	return changes
 }
 
-// publish builds a new View and wakes those who wait for a change. What did
-// not change is shared with the View before.
+// publish builds a new View and notifies the waiters on Changed. Team shards that did not
+// change are shared with the previous View.
 func (s *Store) publish() {
 	v := emptyView()
 	v.Revision = s.revision
@@ -351,7 +352,7 @@
 	return Status{Key: key, Revision: revision, RejectedRevision: e.RejectedRevision, RejectedReason: e.RejectedReason}
 }
 
-// Resource returns one resource's record, and false if there is none.
+// Resource returns the record of a resource, and false if it does not exist.
 func (s *Store) Resource(key resource.Key) (Record, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -362,7 +363,7 @@
 	return e.full(), true
 }
 
-// Select returns the records of one kind that are not deleted, in no order.
+// Select returns the records of one kind that are not deleted, in unspecified order.
 func (s *Store) Select(kind resource.Kind) []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -375,12 +376,13 @@
 	return out
 }
 
-// Since returns what changed after the revision, as a batch for a peer. With
-// full set, or if deletions since then were forgotten, it returns everything.
+// Since returns the records that changed after the revision, as a batch for a peer. If
+// full is set, or if tombstones newer than the revision may have been dropped, it returns
+// all records.
 func (s *Store) Since(revision uint64, full, withoutTeams bool) Batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	full = full || revision < s.floor || revision == 0
+	full = full || revision < s.compactedRevision || revision == 0
 	b := Batch{Revision: s.revision, Full: full}
 	for key, e := range s.records {
 		if withoutTeams && key.Kind == resource.KindTeam {
@@ -393,7 +395,7 @@
 	return b
 }
 
-// VMs holds the newest list of VMs seen. It is safe for concurrent use.
+// VMs holds the newest list of VMs received. It is safe for concurrent use.
 type VMs struct {
 	list atomic.Pointer[vm.List]
 
@@ -401,7 +403,7 @@
 	changed chan struct{}
 }
 
-// NewVMs returns a holder of an empty list at revision 0.
+// NewVMs returns VMs that hold an empty list at revision 0.
 func NewVMs() *VMs {
 	v := &VMs{changed: make(chan struct{})}
 	v.list.Store(&vm.List{})
@@ -418,8 +420,8 @@
 	return v.changed
 }
 
-// Apply keeps the list if it is newer than the one held, and reports whether
-// it did.
+// Apply replaces the list if the given one has a larger revision, and reports whether it
+// did.
 func (v *VMs) Apply(l vm.List) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/core/configuration/store_bench_test.go
+++ b/core/configuration/store_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkStore measures a change of one team, and the memory of a team, at
+// BenchmarkStore measures the time of changing one team and the memory per team, for
 // several numbers of teams.
 func BenchmarkStore(b *testing.B) {
 	for _, n := range []int{3500, 7000, 14_000, 28_000} {
--- a/core/configuration/store_test.go
+++ b/core/configuration/store_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestInvalidVersionIsRejectedAndTheLastGoodOneStays(t *testing.T) {
+func TestInvalidVersionIsRejectedAndTheLastValidOneStays(t *testing.T) {
 	is := is.New(t)
 	s := NewStore(false)
 	s.Apply(Batch{Revision: 1, Full: true, Records: []Record{team("a", 1, 5)}})
@@ -34,7 +34,7 @@
 	is.Equal(rec.RejectedRevision, uint64(0))
 }
 
-func TestStaleOffersChangeNothing(t *testing.T) {
+func TestStaleBatchesChangeNothing(t *testing.T) {
 	is := is.New(t)
 	s := NewStore(false)
 	s.Apply(Batch{Revision: 5, Full: true, Records: []Record{team("a", 5, 5), team("b", 3, 3)}})
@@ -45,7 +45,7 @@
 	is.Equal(s.Revision(), uint64(5))
 }
 
-func TestDeletionIsPassedOnAndForgottenDeletionsForceAFullExchange(t *testing.T) {
+func TestDeletionsReachPeersAndDroppedTombstonesForceAFullExchange(t *testing.T) {
 	is := is.New(t)
 	a, b := NewStore(false), NewStore(false)
 	vmsA, vmsB := NewVMs(), NewVMs()
@@ -66,9 +66,9 @@
 	is.Equal(a.Revision(), b.Revision())
 }
 
-// published is a random history of one operator's platform: at each revision
-// one resource changes, sometimes to something invalid, or goes away.
-func published(t *rapid.T) []map[string]Record {
+// platformHistory returns a random sequence of published states: at each revision one
+// resource changes, sometimes to an invalid value, or is deleted.
+func platformHistory(t *rapid.T) []map[string]Record {
 	state := map[string]Record{}
 	var history []map[string]Record
 	for rev := uint64(1); rev <= 12; rev++ {
@@ -96,11 +96,11 @@
 	return b
 }
 
-// Processes that read different revisions of the platform, at different times
-// and through each other, never go back and end with equal content.
+// Stores that read different revisions, from the platform or from each other and in any
+// order, never revert a resource and converge to the same content.
 func TestStoresConvergeAndNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		history := published(t)
+		history := platformHistory(t)
 		stores := []*Store{NewStore(false), NewStore(false), NewStore(false)}
 		vms := NewVMs()
 		seen := make([]map[resource.Key]uint64, len(stores))
@@ -124,7 +124,7 @@
 			i := rapid.IntRange(0, len(stores)-1).Draw(t, "store")
 			if rapid.Bool().Draw(t, "from the platform") {
 				at := rapid.IntRange(1, len(history)).Draw(t, "revision")
-				if uint64(at) > stores[i].Revision() { // a client's read says what is newer only
+				if uint64(at) > stores[i].Revision() { // the client returns newer revisions only
 					stores[i].Apply(fullBatch(uint64(at), history[at-1]))
 				}
 			} else {
--- a/core/configuration/wire.go
+++ b/core/configuration/wire.go
@@ -7,7 +7,7 @@
 	"baywall.example/core/zone"
 )
 
-// RecordToWire returns a record as it travels on a link.
+// RecordToWire converts a record to its protobuf message.
 func RecordToWire(r Record) *wire.Record {
 	return &wire.Record{
 		Kind: string(r.Key.Kind), Name: r.Key.Name, Revision: r.Revision, Spec: r.Spec,
@@ -15,7 +15,7 @@
 	}
 }
 
-// RecordFromWire reads a record from a link message.
+// RecordFromWire converts a protobuf message to a record.
 func RecordFromWire(w *wire.Record) Record {
 	return Record{
 		Key:              resource.Key{Kind: resource.Kind(w.GetKind()), Name: w.GetName()},
@@ -27,7 +27,7 @@
 	}
 }
 
-// AnswerPull builds the reply to a peer's Pull from what this process holds.
+// AnswerPull builds the reply to a peer's Pull from the stores of this process.
 func AnswerPull(p *wire.Pull, store *Store, vms *VMs) *wire.PullReply {
 	digests := store.Digest()
 	digest := digests.Core
@@ -54,7 +54,7 @@
 	return reply
 }
 
-// NewPull builds a Pull that tells what this process holds.
+// NewPull builds a Pull that states the revisions and the digest of this process.
 func NewPull(store *Store, vms *VMs) *wire.Pull {
 	d := store.Digest()
 	return &wire.Pull{
@@ -65,7 +65,8 @@
 	}
 }
 
-// ApplyPull folds a peer's reply into this process's stores.
+// ApplyPull merges a peer's reply into the stores of this process. It returns the
+// resources that changed, and whether the list of VMs did.
 func ApplyPull(r *wire.PullReply, store *Store, vms *VMs) ([]Status, bool) {
 	b := Batch{Revision: r.GetConfigRevision(), Full: r.GetFull()}
 	for _, rec := range r.GetRecords() {
