--- a/core/settings/defaults.go
+++ b/core/settings/defaults.go
@@ -1,6 +1,7 @@
 package settings
 
-// Or returns value, or fallback where value is zero. It applies defaults.
+// Or returns value, or fallback if value is the zero value. Provision methods use it to
+// apply defaults.
 func Or[T comparable](value, fallback T) T {
 	var zero T
 	if value == zero {
--- a/core/settings/numbers.go
+++ b/core/settings/numbers.go
@@ -7,10 +7,10 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// truncated returns a problem for each number with a fraction that stands for a
-// whole-number field: the YAML library cuts the fraction off without a word.
-func truncated(file *ast.File, target reflect.Type) []Problem {
-	f := &fractions{target: target}
+// fractionProblems returns a problem for each fractional number given for an integer field:
+// the YAML library truncates such numbers without an error.
+func fractionProblems(file *ast.File, target reflect.Type) []Problem {
+	f := &fractionFinder{target: target}
 	for _, doc := range file.Docs {
 		if doc.Body != nil {
 			ast.Walk(f, doc.Body)
@@ -19,14 +19,14 @@
 	return f.problems
 }
 
-// fractions visits a document's nodes.
-type fractions struct {
+// fractionFinder is an ast.Visitor that collects fractional values of integer fields.
+type fractionFinder struct {
 	target   reflect.Type
 	problems []Problem
 }
 
 // Visit implements ast.Visitor.
-func (f *fractions) Visit(node ast.Node) ast.Visitor {
+func (f *fractionFinder) Visit(node ast.Node) ast.Visitor {
 	number, ok := node.(*ast.FloatNode)
 	if !ok {
 		return f
@@ -42,8 +42,8 @@
 	return k >= reflect.Int && k <= reflect.Uintptr
 }
 
-// fieldType follows a path of YAML names through a type; it returns nil where
-// the path leads out of it.
+// fieldType returns the type of the field at a path of YAML names, or nil if there is no
+// such field.
 func fieldType(t reflect.Type, path []string) reflect.Type {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -1,8 +1,8 @@
 // Package settings loads a process's static settings from a YAML file.
 //
-// Loading is strict: an unknown field or a value of the wrong type is an error
-// that names file, line and field. After decoding, the settings' own Validate
-// method returns Problems, each with the path of a field; Load adds the line.
+// Loading is strict: an unknown field or a value of the wrong type is an error that names
+// the file, line and field. After decoding, the Validate method of the settings returns
+// Problems, each with the path of a field; Load adds the file and the line.
 package settings
 
 import (
@@ -23,10 +23,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrInvalid is the root of every error about the content of a file.
+// ErrInvalid is wrapped by every error about the content of a file.
 var ErrInvalid = eris.New("settings: invalid")
 
-// Problem is one wrong value: where it stands, what it is, what is allowed.
+// Problem is one invalid value: its position, the value and what is allowed.
 type Problem struct {
 	File    string
 	Line    int    // 1-based, 0 where the field is absent
@@ -64,7 +64,7 @@
 	if err != nil {
 		return eris.Wrapf(ErrInvalid, "%s: %v", path, err)
 	}
-	problems := append(truncated(file, reflect.TypeOf(out)), out.Validate()...)
+	problems := append(fractionProblems(file, reflect.TypeOf(out)), out.Validate()...)
 	if len(problems) == 0 {
 		return nil
 	}
@@ -84,7 +84,7 @@
 	if errors.As(err, &syntax) && syntax.GetToken() != nil {
 		tok, allowed = syntax.GetToken(), syntax.GetMessage()
 	} else {
-		tok = scalarIn(raw, err)
+		tok = findScalar(raw, err)
 	}
 	if tok == nil {
 		return eris.Wrapf(ErrInvalid, "%s: %v", path, err)
@@ -93,13 +93,13 @@
 	return errors.Join(ErrInvalid, problem)
 }
 
-// quoted matches the value at the end of an error of a scalar's own parser,
-// such as time.ParseDuration, which knows no position.
-var quoted = regexp.MustCompile(`"([^"]*)"$`)
+// trailingQuoted matches the quoted value at the end of an error from a scalar parser such
+// as time.ParseDuration, which does not report a position.
+var trailingQuoted = regexp.MustCompile(`"([^"]*)"$`)
 
-// scalarIn finds the scalar that such an error speaks of.
-func scalarIn(raw []byte, err error) *token.Token {
-	match := quoted.FindStringSubmatch(err.Error())
+// findScalar returns the token of the value that a scalar parser's error quotes.
+func findScalar(raw []byte, err error) *token.Token {
+	match := trailingQuoted.FindStringSubmatch(err.Error())
 	if match == nil {
 		return nil
 	}
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// fieldName returns the key that a wrong value stands behind, or the value
-// itself where the wrong token is the key.
+// fieldName returns the key of an invalid value, or the value itself if the invalid token
+// is the key.
 func fieldName(value string, prev *token.Token) string {
 	if prev == nil || prev.Type != token.MappingValueType || prev.Prev == nil {
 		return value
@@ -120,7 +120,7 @@
 	return prev.Prev.Value
 }
 
-// lineOf finds the line of a dotted path, or of its nearest present parent.
+// lineOf returns the line of a dotted path, or of its nearest parent that is present.
 func lineOf(file *ast.File, field string) int {
 	for field != "" && file != nil {
 		p, err := yaml.PathString("$." + field)
@@ -138,7 +138,7 @@
 	return 0
 }
 
-// Checks collects problems while a Validate method goes through its fields.
+// Checks collects the problems that a Validate method finds.
 type Checks struct {
 	Problems []Problem
 }
@@ -154,7 +154,7 @@
 	}
 }
 
-// Address reports a value that is not an IP number with a port from 1 to 65535.
+// Address reports a value that is not an IP address with a port from 1 to 65535.
 func (c *Checks) Address(field, value string) {
 	ap, err := netip.ParseAddrPort(value)
 	if err != nil || ap.Port() == 0 {
@@ -162,28 +162,28 @@
 	}
 }
 
-// Duration reports a value outside of [low, high].
+// Duration reports a value outside [low, high].
 func (c *Checks) Duration(field string, value, low, high time.Duration) {
 	if value < low || value > high {
 		c.add(field, value.String(), fmt.Sprintf("from %s to %s", low, high))
 	}
 }
 
-// Int reports a value outside of [low, high].
+// Int reports a value outside [low, high].
 func (c *Checks) Int(field string, value, low, high int) {
 	if value < low || value > high {
 		c.add(field, fmt.Sprint(value), fmt.Sprintf("from %d to %d", low, high))
 	}
 }
 
-// Float reports a value outside of [low, high].
+// Float reports a value outside [low, high].
 func (c *Checks) Float(field string, value, low, high float64) {
 	if !(value >= low && value <= high) {
 		c.add(field, fmt.Sprint(value), fmt.Sprintf("from %g to %g", low, high))
 	}
 }
 
-// OneOf reports a value that is not among the allowed ones.
+// OneOf reports a value that is not one of the allowed values.
 func (c *Checks) OneOf(field, value string, allowed ...string) {
 	for _, a := range allowed {
 		if a == value {
@@ -193,7 +193,7 @@
 	c.add(field, value, "one of "+strings.Join(allowed, ", "))
 }
 
-// Distinct reports fields that share one non-empty value.
+// Distinct reports each field whose non-empty value an earlier field already has.
 func (c *Checks) Distinct(fields ...Field) {
 	seen := make(map[string]string, len(fields))
 	for _, f := range fields {
@@ -206,7 +206,7 @@
 	}
 }
 
-// Field is a named value, for checks that compare several.
+// Field is a named value, for checks that compare several fields.
 type Field struct {
 	Name, Value string
 }
--- a/core/settings/settings_test.go
+++ b/core/settings/settings_test.go
@@ -67,8 +67,7 @@
 	}
 }
 
-// FuzzParse checks that no file makes loading panic, and that what is accepted
-// validates.
+// FuzzParse checks that no file makes Parse panic, and that accepted settings validate.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("name: a\nwait: 5s\nlink:\n  listen: 127.0.0.1:7000\n"))
 	f.Add([]byte("wait: 5 parsecs\n"))
@@ -76,7 +75,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var s sample
 		if settings.Parse("f.yaml", raw, &s) == nil && len(s.Validate()) > 0 {
-			t.Fatal("accepted what does not validate")
+			t.Fatal("Parse accepted settings that do not validate")
 		}
 	})
 }
