--- a/core/link/coalesce.go
+++ b/core/link/coalesce.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// maxPending is how many bytes may wait to be written before Write blocks.
+	// maxPending is how many bytes may be buffered before Write blocks.
 	maxPending = 256 << 10
-	// maxKept is the largest buffer, in bytes, that is kept for later writes.
-	maxKept = 64 << 10
-	// frameHeaderSize is the size of a yamux frame header, and frameTypeAt and
-	// frameLengthAt are where its type and length stand. Type 0 is data.
-	frameHeaderSize = 12
-	frameTypeAt     = 1
-	frameLengthAt   = 8
+	// maxRetainedBuffer is the largest buffer, in bytes, that is retained for reuse.
+	maxRetainedBuffer = 64 << 10
+	// frameHeaderSize is the size of a yamux frame header, and frameTypeOffset and
+	// frameLengthOffset are the offsets of its type and length. Type 0 is data.
+	frameHeaderSize   = 12
+	frameTypeOffset   = 1
+	frameLengthOffset = 8
 )
 
-// coalescingConn joins small writes. The session writes each frame's header
-// and body on their own, and many short frames one after the other; every one
-// would be a system call and a packet. Writes are appended to a buffer that a
-// second goroutine empties, so what comes while a system call runs goes out
-// with the next one. The header of a data frame waits for its body.
+// coalescingConn combines small writes. The session writes the header and the body of each
+// frame separately, and many short frames in succession; each of these writes would be a
+// system call and a packet. Write appends to a buffer that a second goroutine drains, so
+// data written during one system call is sent with the next. The header of a data frame
+// is held back until its body is written.
 type coalescingConn struct {
 	net.Conn
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	pending []byte
-	spare   []byte
-	headed  bool // pending ends with a header whose body follows
-	err     error
+	mu           sync.Mutex
+	changed      *sync.Cond
+	pending      []byte
+	spare        []byte
+	awaitingBody bool // pending ends with a header whose body is not written yet
+	err          error
 }
 
 func newCoalescingConn(conn net.Conn) *coalescingConn {
@@ -43,7 +43,7 @@
 	return c
 }
 
-// Write appends p to the buffer. An error of an earlier write is returned.
+// Write appends p to the buffer. It returns the error of an earlier write, if any.
 func (c *coalescingConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,20 +54,20 @@
 		return 0, c.err
 	}
 	c.pending = append(c.pending, p...)
-	c.headed = !c.headed && isDataHeader(p)
-	if !c.headed {
+	c.awaitingBody = !c.awaitingBody && isDataHeader(p)
+	if !c.awaitingBody {
 		c.changed.Broadcast()
 	}
 	return len(p), nil
 }
 
 func isDataHeader(p []byte) bool {
-	return len(p) == frameHeaderSize && p[frameTypeAt] == 0 && binary.BigEndian.Uint32(p[frameLengthAt:]) > 0
+	return len(p) == frameHeaderSize && p[frameTypeOffset] == 0 && binary.BigEndian.Uint32(p[frameLengthOffset:]) > 0
 }
 
 func (c *coalescingConn) flushLoop() {
 	for {
-		batch, err := c.take()
+		batch, err := c.nextBatch()
 		if err != nil {
 			return
 		}
@@ -78,17 +78,17 @@
 	}
 }
 
-// take waits for something to write.
-func (c *coalescingConn) take() ([]byte, error) {
+// nextBatch waits until there is data to write and returns it.
+func (c *coalescingConn) nextBatch() ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for (len(c.pending) == 0 || c.headed) && c.err == nil {
+	for (len(c.pending) == 0 || c.awaitingBody) && c.err == nil {
 		c.changed.Wait()
 	}
 	batch := c.pending
 	c.pending, c.spare = c.spare[:0], batch
-	if cap(batch) > maxKept {
-		c.spare = nil // one large exchange must not cost its memory forever
+	if cap(batch) > maxRetainedBuffer {
+		c.spare = nil // do not hold the memory of one large message forever
 	}
 	c.changed.Broadcast()
 	return batch, c.err
@@ -103,10 +103,10 @@
 	c.changed.Broadcast()
 }
 
-// errClosed is what writes to a closed connection return.
+// errClosed is returned by writes to a closed connection.
 var errClosed = eris.Wrap(ErrLost, "closed")
 
-// Close closes the connection; what is still in the buffer may not be sent.
+// Close closes the connection; data that is still in the buffer may be lost.
 func (c *coalescingConn) Close() error {
 	c.fail(errClosed)
 	return c.Conn.Close()
--- a/core/link/doc.go
+++ b/core/link/doc.go
@@ -1,12 +1,12 @@
-// Package link connects two VMs of a fleet: one yamux session over TCP, opened
-// by a Hello from the side that dials and answered by one from the other side.
+// Package link connects two VMs of a fleet by a yamux session over TCP. The dialing side
+// opens the session with a Hello, and the accepting side replies with its own.
 //
-// Both sides may open streams. A stream carries one Call and its Reply
-// messages. The session's keep-alive finds a dead path; a stream that is not
-// read blocks only its own sender, up to the write timeout, after which the
-// stream is given up. Messages have a size limit, so that garbage costs a
-// bounded amount of memory and then the link.
+// Both sides may open streams. A stream carries one Call and its Reply messages. The
+// session's keep-alive detects a broken connection. A stream whose receiver does not read
+// blocks only its own sender, until the write timeout fails the stream. The size of a
+// message is limited, so that malformed input costs a bounded amount of memory before the
+// link is closed.
 //
-// A Pool keeps one outgoing link per VM, dialed when first needed, and again,
-// after a backoff, when it was lost.
+// A Pool keeps one outgoing link per VM. It dials on first use, and again after a backoff
+// when the link was lost.
 package link
--- a/core/link/link.go
+++ b/core/link/link.go
@@ -23,15 +23,16 @@
 
 // Errors of the link layer.
 var (
-	// ErrUnreachable means that no link could be made.
+	// ErrUnreachable means that no link could be established.
 	ErrUnreachable = eris.New("link: unreachable")
 	// ErrLost means that the link or the stream broke.
 	ErrLost = eris.New("link: lost")
 	// ErrProtocol means that the other side sent something unexpected.
 	ErrProtocol = eris.New("link: protocol violation")
-	// ErrUnauthorized means that the other side is not on the live list.
+	// ErrUnauthorized means that the other side may not open a link: it is not on the
+	// list of VMs or does not match its entry there.
 	ErrUnauthorized = eris.New("link: unauthorized")
-	// ErrReplaced means that the VM runs another incarnation than asked for.
+	// ErrReplaced means that the VM runs a different incarnation than requested.
 	ErrReplaced = eris.New("link: incarnation replaced")
 )
 
@@ -42,13 +43,14 @@
 	helloTimeout = time.Second
 	// keepAlive is the interval of the session's keep-alive pings.
 	keepAlive = time.Second
-	// writeTimeout bounds a write to a peer that does not read.
+	// writeTimeout is the longest a write to a peer that does not read may block.
 	writeTimeout = 3 * time.Second
 	// streamBuffer is the size of a stream's read buffer, in bytes.
 	streamBuffer = 1024
 )
 
-// Local is what a process tells about itself when a link opens.
+// Local holds the identity that a process sends in its Hello, and the dependencies of
+// its links.
 type Local struct {
 	VM          vm.ID
 	Incarnation vm.Incarnation
@@ -75,7 +77,7 @@
 	ServeStream(ctx context.Context, from *Link, s *Stream, call *wire.Call)
 }
 
-// Link is one session with another VM.
+// Link is a session with another VM.
 type Link struct {
 	local       *Local
 	session     *yamux.Session
@@ -96,15 +98,15 @@
 	return c
 }
 
-// sessionLogger turns the session library's log lines into ours.
+// sessionLogger forwards the log output of the yamux library to zerolog.
 type sessionLogger struct{ log zerolog.Logger }
 
 func (l sessionLogger) Print(v ...any)            { l.log.Debug().Msg("session") }
 func (l sessionLogger) Println(v ...any)          { l.log.Debug().Msg("session") }
 func (l sessionLogger) Printf(f string, v ...any) { l.log.Debug().Msgf(f, v...) }
 
-// Dial opens a link to the address and serves streams that the other side
-// opens with the handler, which may be nil.
+// Dial opens a link to the address. The handler, which may be nil, serves the streams that
+// the other side opens.
 func Dial(ctx context.Context, local *Local, address string, handler Handler) (*Link, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
@@ -117,12 +119,12 @@
 		return nil, eris.Wrapf(ErrUnreachable, "%s: %v", address, err)
 	}
 	l := &Link{local: local}
-	l.session, err = yamux.Client(newCoalescingConn(local.count(conn)), sessionConfig(local.Log))
+	l.session, err = yamux.Client(newCoalescingConn(local.countTraffic(conn)), sessionConfig(local.Log))
 	if err != nil {
 		conn.Close()
 		return nil, eris.Wrapf(ErrUnreachable, "%s: %v", address, err)
 	}
-	if err := l.greet(ctx); err != nil {
+	if err := l.sendHello(ctx); err != nil {
 		l.Close()
 		return nil, err
 	}
@@ -130,7 +132,7 @@
 	return l, nil
 }
 
-func (l *Link) greet(ctx context.Context) error {
+func (l *Link) sendHello(ctx context.Context) error {
 	s, err := l.Open(ctx)
 	if err != nil {
 		return err
@@ -148,7 +150,7 @@
 
 func (l *Link) identify(h *wire.Hello) error {
 	if h.GetVm() == "" {
-		return eris.Wrap(ErrProtocol, "no hello")
+		return eris.Wrap(ErrProtocol, "first message is not a Hello")
 	}
 	l.Remote = vm.ID(h.GetVm())
 	l.Incarnation = vm.Incarnation(h.GetIncarnation())
@@ -157,7 +159,7 @@
 	return nil
 }
 
-// Authorizer decides whether a VM may open a link; an error refuses it.
+// Authorizer decides whether a VM may open a link; an error rejects the link.
 type Authorizer func(h *wire.Hello, remote net.Addr) error
 
 // Accept serves links on the listener until it is closed.
@@ -173,28 +175,28 @@
 
 func accept(conn net.Conn, local *Local, authorize Authorizer, handler Handler) {
 	l := &Link{local: local}
-	session, err := yamux.Server(newCoalescingConn(local.count(conn)), sessionConfig(local.Log))
+	session, err := yamux.Server(newCoalescingConn(local.countTraffic(conn)), sessionConfig(local.Log))
 	if err != nil {
 		conn.Close()
 		return
 	}
 	l.session = session
-	if err := l.welcome(conn.RemoteAddr(), authorize); err != nil {
-		local.Log.Warn().Str("remote", conn.RemoteAddr().String()).Err(err).Msg("link refused")
+	if err := l.receiveHello(conn.RemoteAddr(), authorize); err != nil {
+		local.Log.Warn().Str("remote", conn.RemoteAddr().String()).Err(err).Msg("incoming link rejected")
 		l.Close()
 		return
 	}
 	l.serve(handler)
 }
 
-func (l *Link) welcome(remote net.Addr, authorize Authorizer) error {
+func (l *Link) receiveHello(remote net.Addr, authorize Authorizer) error {
 	timer := time.AfterFunc(helloTimeout, func() { l.Close() })
 	defer timer.Stop()
 	raw, err := l.session.AcceptStream()
 	if err != nil {
 		return eris.Wrapf(ErrLost, "hello: %v", err)
 	}
-	s := l.wrap(raw)
+	s := l.newStream(raw)
 	defer s.Close()
 	call, err := s.RecvCall()
 	if err != nil {
@@ -224,7 +226,7 @@
 			raw.Close()
 			continue
 		}
-		go l.serveStream(ctx, handler, l.wrap(raw))
+		go l.serveStream(ctx, handler, l.newStream(raw))
 	}
 }
 
@@ -233,7 +235,7 @@
 	call, err := s.RecvCall()
 	if err != nil {
 		if eris.Is(err, ErrProtocol) {
-			l.local.Log.Warn().Str("vm", string(l.Remote)).Err(err).Msg("link closed: bad message")
+			l.local.Log.Warn().Str("vm", string(l.Remote)).Err(err).Msg("malformed message; closing the link")
 			l.Close()
 		}
 		return
@@ -259,11 +261,11 @@
 	if err != nil {
 		return nil, eris.Wrapf(ErrLost, "open: %v", err)
 	}
-	return l.wrap(raw), nil
+	return l.newStream(raw), nil
 }
 
-// Call opens a stream, sends the call and waits for a single reply, until the
-// context ends.
+// Call opens a stream, sends the call and waits for a single reply or the end of the
+// context.
 func (l *Link) Call(ctx context.Context, call *wire.Call) (*wire.Reply, error) {
 	s, err := l.Open(ctx)
 	if err != nil {
@@ -278,23 +280,23 @@
 	return s.RecvReply()
 }
 
-// Stream carries one call and its replies. Sending and receiving may each be
-// done by one goroutine at a time.
+// Stream carries one call and its replies. At most one goroutine may send and one may
+// receive at a time.
 type Stream struct {
 	raw     *yamux.Stream
 	reader  *bufio.Reader
 	link    *Link
-	pending []byte // queued, not sent yet
+	pending []byte // queued, not yet sent
 }
 
-func (l *Link) wrap(raw *yamux.Stream) *Stream {
+func (l *Link) newStream(raw *yamux.Stream) *Stream {
 	return &Stream{raw: raw, reader: bufio.NewReaderSize(raw, streamBuffer), link: l}
 }
 
 // Close ends the stream in both directions.
 func (s *Stream) Close() { _ = s.raw.Close() }
 
-// SetReadDeadline bounds later receives; the zero time removes the bound.
+// SetReadDeadline sets the deadline of future receives; the zero time removes it.
 func (s *Stream) SetReadDeadline(t time.Time) { _ = s.raw.SetReadDeadline(t) }
 
 // SendCall sends a call stamped with the local clock.
@@ -309,14 +311,14 @@
 	return s.send(r)
 }
 
-// QueueReply keeps a reply back until the next SendReply or Flush, so that
-// replies which are ready together travel together.
+// QueueReply buffers a reply until the next SendReply or Flush, so that replies which are
+// ready at the same time are sent in one write.
 func (s *Stream) QueueReply(r *wire.Reply) error {
 	r.Clock = uint64(s.link.local.Clock.Now(time.Now()))
 	return s.queue(r)
 }
 
-// Flush sends what was queued.
+// Flush sends the queued replies.
 func (s *Stream) Flush() error {
 	if len(s.pending) == 0 {
 		return nil
@@ -337,7 +339,7 @@
 	return s.Flush()
 }
 
-// queue appends the message, with its length before it, to what is pending.
+// queue appends the length-prefixed message to the pending bytes.
 func (s *Stream) queue(m proto.Message) error {
 	s.pending = protowire.AppendVarint(s.pending, uint64(proto.Size(m)))
 	out, err := proto.MarshalOptions{UseCachedSize: true}.MarshalAppend(s.pending, m)
@@ -348,7 +350,7 @@
 	return nil
 }
 
-// RecvCall receives a call and merges its clock.
+// RecvCall receives a call and merges its clock stamp into the local clock.
 func (s *Stream) RecvCall() (*wire.Call, error) {
 	var c wire.Call
 	if err := s.recv(&c); err != nil {
@@ -358,7 +360,7 @@
 	return &c, nil
 }
 
-// RecvReply receives a reply and merges its clock.
+// RecvReply receives a reply and merges its clock stamp into the local clock.
 func (s *Stream) RecvReply() (*wire.Reply, error) {
 	var r wire.Reply
 	if err := s.recv(&r); err != nil {
@@ -383,13 +385,13 @@
 	return eris.Wrapf(ErrLost, "receive: %v", err)
 }
 
-// countingConn counts the bytes sent and received.
+// countingConn counts the bytes sent and received on a connection.
 type countingConn struct {
 	net.Conn
 	traffic *atomic.Int64
 }
 
-func (l *Local) count(conn net.Conn) net.Conn {
+func (l *Local) countTraffic(conn net.Conn) net.Conn {
 	if l.Traffic == nil {
 		return conn
 	}
--- a/core/link/link_test.go
+++ b/core/link/link_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// echoHandler answers a Pull with its own revisions.
+// echoHandler replies to a Pull with the revisions that the Pull contains.
 type echoHandler struct{ served atomic.Int64 }
 
 func (h *echoHandler) ServeStream(_ context.Context, _ *Link, s *Stream, call *wire.Call) {
@@ -67,14 +67,14 @@
 	is.True(second.GetClock() > first.GetClock())
 }
 
-func TestALinkThatIsNotAuthorizedIsClosed(t *testing.T) {
+func TestUnauthorizedLinkIsClosed(t *testing.T) {
 	is := is.New(t)
 	refuse := func(*wire.Hello, net.Addr) error { return ErrUnauthorized }
 	_, err := Dial(t.Context(), local("a"), listen(t, refuse, &echoHandler{}), nil)
 	is.True(eris.Is(err, ErrLost))
 }
 
-func TestACallEndsWithItsContext(t *testing.T) {
+func TestCallEndsWithItsContext(t *testing.T) {
 	is := is.New(t)
 	stuck := handlerFunc(func(ctx context.Context) { <-ctx.Done() })
 	l, err := Dial(t.Context(), local("a"), listen(t, nil, stuck), nil)
@@ -90,9 +90,9 @@
 
 func (f handlerFunc) ServeStream(ctx context.Context, _ *Link, _ *Stream, _ *wire.Call) { f(ctx) }
 
-// Garbage, and a message that says it is huge, cost the sender its link and
-// nobody else anything.
-func TestGarbageEndsTheLinkOnly(t *testing.T) {
+// Malformed input and a message with an excessive length close the sender's link and
+// affect no other link.
+func TestMalformedInputClosesOnlyItsOwnLink(t *testing.T) {
 	cases := []struct {
 		name string
 		raw  []byte
@@ -121,8 +121,8 @@
 	}
 }
 
-// frame returns a yamux data frame that opens a stream, with a body and, if not
-// 0, a false length.
+// frame returns a yamux data frame of stream 1 with the given flags and body. If length is
+// not 0, the header states it instead of the body's length.
 func frame(flags uint16, body []byte, length uint32) []byte {
 	if length == 0 {
 		length = uint32(len(body))
@@ -130,11 +130,11 @@
 	out := make([]byte, frameHeaderSize)
 	binary.BigEndian.PutUint16(out[2:], flags)
 	binary.BigEndian.PutUint32(out[4:], 1)
-	binary.BigEndian.PutUint32(out[frameLengthAt:], length)
+	binary.BigEndian.PutUint32(out[frameLengthOffset:], length)
 	return append(out, body...)
 }
 
-// FuzzFirstMessage sends any bytes as the first message of a link.
+// FuzzFirstMessage sends arbitrary bytes as the first message of a link.
 func FuzzFirstMessage(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{2, 8, 1})
--- a/core/link/pool.go
+++ b/core/link/pool.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// firstBackoff and lastBackoff bound the pause after a failed dial.
-	firstBackoff = 50 * time.Millisecond
-	lastBackoff  = time.Second
+	// minBackoff and maxBackoff bound the backoff after a failed dial.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = time.Second
 )
 
-// Pool keeps at most one outgoing link per VM. It is safe for concurrent use;
-// each VM's link has its own lock, so that a slow dial delays nobody else.
+// Pool keeps at most one outgoing link per VM. It is safe for concurrent use. Each VM's
+// link has its own lock, so that a slow dial does not delay calls for other VMs.
 type Pool struct {
 	local   *Local
 	handler Handler
@@ -30,23 +30,23 @@
 }
 
 type slot struct {
-	mu      sync.Mutex
-	link    *Link
-	address string
-	backoff time.Duration
-	retryAt time.Time
-	used    time.Time // when the link was last asked for
+	mu       sync.Mutex
+	link     *Link
+	address  string
+	backoff  time.Duration
+	retryAt  time.Time
+	lastUsed time.Time // time of the last Get
 }
 
-// NewPool returns an empty pool. The callbacks, which may be nil, run once for
-// each link made and lost.
+// NewPool returns an empty pool. onUp runs once for each link that is established, and
+// onDown once for each that ends; both may be nil.
 func NewPool(local *Local, handler Handler, onUp, onDown func(*Link)) *Pool {
 	return &Pool{local: local, handler: handler, onUp: onUp, onDown: onDown, slots: make(map[vm.ID]*slot)}
 }
 
-// Get returns the link to the VM, dialing if there is none. While a failed
-// dial's backoff lasts it fails at once. The callback for a new link runs
-// without any lock held, as it may use the pool.
+// Get returns the link to the VM and dials if there is none. During the backoff after a
+// failed dial it fails immediately. The callback for a new link runs without any lock
+// held, as it may use the pool.
 func (p *Pool) Get(ctx context.Context, v vm.VM) (*Link, error) {
 	l, isNew, err := p.getOrDial(ctx, p.slot(v.ID), v)
 	if isNew {
@@ -58,12 +58,12 @@
 func (p *Pool) getOrDial(ctx context.Context, s *slot, v vm.VM) (l *Link, isNew bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.used = clock.Now()
+	s.lastUsed = clock.Now()
 	if s.link != nil && !s.link.Closed() && s.address == v.Link {
 		return s.link, false, nil
 	}
 	if s.address == v.Link && clock.Now().Before(s.retryAt) {
-		return nil, false, eris.Wrapf(ErrUnreachable, "%s: waiting after a failed dial", v.ID)
+		return nil, false, eris.Wrapf(ErrUnreachable, "%s: backing off after a failed dial", v.ID)
 	}
 	l, err = p.dial(ctx, s, v)
 	return l, err == nil, err
@@ -81,7 +81,7 @@
 		err = eris.Wrapf(ErrProtocol, "%s answered as %s", v.ID, l.Remote)
 	}
 	if err != nil {
-		s.backoff = min(max(2*s.backoff, firstBackoff), lastBackoff)
+		s.backoff = min(max(2*s.backoff, minBackoff), maxBackoff)
 		s.retryAt = clock.Now().Add(s.backoff)
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 	}()
 }
 
-// Open returns the live link to a VM if there is one, without dialing.
+// Open returns the open link to a VM if there is one; it does not dial.
 func (p *Pool) Open(id vm.ID) (*Link, bool) {
 	s := p.slot(id)
 	s.mu.Lock()
@@ -128,13 +128,13 @@
 	}
 }
 
-// Trim closes the links that nobody has asked for since the given time. Each
-// link costs both sides some tens of kilobytes, so links that are needed now and
-// then only must not add up to one for every VM.
+// Trim closes the links that Get has not returned since the given time. Each link costs
+// both sides some tens of kilobytes, so links that are used only occasionally must not
+// accumulate until there is one per VM.
 func (p *Pool) Trim(since time.Time) {
 	for _, s := range p.all() {
 		s.mu.Lock()
-		if s.link != nil && s.used.Before(since) {
+		if s.link != nil && s.lastUsed.Before(since) {
 			s.link.Close()
 			s.link = nil
 		}
@@ -142,7 +142,7 @@
 	}
 }
 
-// Links returns the live links.
+// Links returns the open links.
 func (p *Pool) Links() []*Link {
 	var out []*Link
 	for _, s := range p.all() {
@@ -166,7 +166,7 @@
 	}
 }
 
-// all returns the present slots, so that each can be locked on its own.
+// all returns a copy of the slots, so that each can be locked without holding p.mu.
 func (p *Pool) all() []*slot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
