--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -1,15 +1,15 @@
-// Package clock tells times whose differences include the time for which the machine was
-// suspended.
+// Package clock provides times whose differences include the time for which the machine
+// was suspended.
 //
-// Go's monotonic clock is CLOCK_MONOTONIC, which stands still while a machine is
-// suspended. To all others its time goes on: a lease has run out, a deadline has passed, a
-// peer has been silent. CLOCK_BOOTTIME counts that time. Now returns Go's time moved on by
-// what CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC, since the process has started. Its
-// values are to be compared with each other only, and not by time.Since or time.Until:
-// use Since and Until. They do not follow steps of the time of day.
+// Go's monotonic clock is CLOCK_MONOTONIC, which stops while the machine is suspended. For
+// all other machines time goes on meanwhile: leases expire, deadlines pass and the
+// suspended machine counts as silent. CLOCK_BOOTTIME includes suspensions. Now returns
+// Go's time plus the amount by which CLOCK_BOOTTIME has gained on CLOCK_MONOTONIC since
+// the process started. Compare its values only with each other, by Since and Until rather
+// than time.Since and time.Until. They do not follow steps of the wall clock.
 //
-// Timers of the runtime stand still, too. WithDeadline ends a context in time all the
-// same; elsewhere what a timer bounds is looked at again with Now.
+// The runtime's timers also stop during a suspension. WithDeadline ends a context on time
+// nevertheless; other code that relies on a timer must check Now again when it fires.
 package clock
 
 /*
@@ -30,38 +30,38 @@
 	"time"
 )
 
-// leastSuspension is the least time for which a machine is suspended, in nanoseconds:
-// between the readings of both clocks the process may have had to wait for a processor.
-const leastSuspension = int64(100 * time.Millisecond)
+// minSuspension is the smallest difference that counts as a suspension, in nanoseconds.
+// Smaller ones can arise when the process is descheduled between reading the two clocks.
+const minSuspension = int64(100 * time.Millisecond)
 
-// clocks are the readings of the process.
-var clocks = newReadings(func() int64 { return int64(C.ahead()) })
+// suspensions measures the suspensions of the machine on which this process runs.
+var suspensions = newMeter(func() int64 { return int64(C.ahead()) })
 
-// readings tell for how long the machine was suspended. They are safe for concurrent use.
-type readings struct {
-	ahead   func() int64
-	base    int64        // ahead at the start, in ns
-	counted atomic.Int64 // suspended since then, in ns
-	added   atomic.Int64 // by Suspend
+// meter measures for how long the machine was suspended. It is safe for concurrent use.
+type meter struct {
+	ahead     func() int64
+	base      int64        // result of ahead at the start, in ns
+	measured  atomic.Int64 // suspended time since the start, in ns
+	simulated atomic.Int64 // simulated suspensions, in ns
 }
 
-func newReadings(ahead func() int64) *readings { return &readings{ahead: ahead, base: ahead()} }
+func newMeter(ahead func() int64) *meter { return &meter{ahead: ahead, base: ahead()} }
 
-// suspended returns for how long the machine was suspended since the start. It never
-// falls.
-func (r *readings) suspended() time.Duration {
+// suspended returns for how long the machine was suspended since the start. The result
+// decreases only when a test undoes a simulated suspension.
+func (m *meter) suspended() time.Duration {
 	for {
-		counted := r.counted.Load()
-		now := r.ahead() - r.base
-		if now-counted < leastSuspension || r.counted.CompareAndSwap(counted, now) {
-			return time.Duration(r.counted.Load() + r.added.Load())
+		measured := m.measured.Load()
+		now := m.ahead() - m.base
+		if now-measured < minSuspension || m.measured.CompareAndSwap(measured, now) {
+			return time.Duration(m.measured.Load() + m.simulated.Load())
 		}
 	}
 }
 
-// Now returns the present time, moved on by the time for which the machine was suspended
-// since the process has started.
-func Now() time.Time { return time.Now().Add(clocks.suspended()) }
+// Now returns the current time plus the time for which the machine was suspended since the
+// process started.
+func Now() time.Time { return time.Now().Add(suspensions.suspended()) }
 
 // Since returns the time that has passed since a value of Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
@@ -69,13 +69,12 @@
 // Until returns the time until a value of Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Wall returns the time of day, as far as it is known now, at a value of Now.
+// Wall converts a value of Now to wall-clock time, based on the current wall clock.
 func Wall(t time.Time) time.Time { return time.Now().Add(Until(t)).Round(0) }
 
-// Suspended returns for how long the machine was suspended since the process has started.
-func Suspended() time.Duration { return clocks.suspended() }
+// Suspended returns for how long the machine was suspended since the process started.
+func Suspended() time.Duration { return suspensions.suspended() }
 
-// Suspend behaves from now on as if the machine had been suspended for a time. It is for
-// tests, which take it back by the same negative time: no process without privileges can
-// suspend its machine.
-func Suspend(d time.Duration) { clocks.added.Add(int64(d)) }
+// Suspend simulates a suspension of the machine for the given time. It is for tests, as an
+// unprivileged process cannot suspend its machine. A call with the negated time undoes it.
+func Suspend(d time.Duration) { suspensions.simulated.Add(int64(d)) }
--- a/core/clock/clock_test.go
+++ b/core/clock/clock_test.go
@@ -16,26 +16,26 @@
 	is.True(Since(before) >= time.Minute)
 	is.True(Until(before.Add(2*time.Minute)) <= time.Minute)
 	is.True(Suspended() >= time.Minute)
-	is.True(time.Until(Wall(Now())).Abs() < time.Second) // the time of day has counted it
+	is.True(time.Until(Wall(Now())).Abs() < time.Second) // the wall clock includes the suspension
 }
 
-// What the process waits for between two readings is no suspension; a clock that is set
-// back changes nothing.
-func TestSmallAndNegativeDifferencesAreNoSuspensions(t *testing.T) {
+// A small difference between the two clock readings, as when the process is descheduled
+// between them, does not count as a suspension, and a decreasing difference has no effect.
+func TestSmallAndNegativeDifferencesAreIgnored(t *testing.T) {
 	is := is.New(t)
-	ahead := int64(5 * time.Hour) // the machine was suspended before the process began
-	r := newReadings(func() int64 { return ahead })
-	is.Equal(r.suspended(), time.Duration(0))
-	ahead += leastSuspension - 1
-	is.Equal(r.suspended(), time.Duration(0))
+	ahead := int64(5 * time.Hour) // the machine was suspended before the process started
+	m := newMeter(func() int64 { return ahead })
+	is.Equal(m.suspended(), time.Duration(0))
+	ahead += minSuspension - 1
+	is.Equal(m.suspended(), time.Duration(0))
 	ahead += int64(3 * time.Second)
-	suspended := r.suspended()
+	suspended := m.suspended()
 	is.True(suspended >= 3*time.Second)
 	ahead -= int64(time.Hour)
-	is.Equal(r.suspended(), suspended)
+	is.Equal(m.suspended(), suspended)
 }
 
-func TestADeadlinePassesWhileSuspended(t *testing.T) {
+func TestDeadlineExpiresDuringSuspension(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := WithDeadline(t.Context(), Now().Add(time.Minute))
 	defer cancel()
@@ -52,19 +52,19 @@
 	select {
 	case <-child.Done():
 	case <-time.After(time.Second):
-		t.Fatal("the context goes on")
+		t.Fatal("the context did not end at its deadline")
 	}
 	is.Equal(ctx.Err(), context.DeadlineExceeded)
 }
 
-func TestADeadlinePasses(t *testing.T) {
+func TestDeadlineExpires(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := WithDeadline(t.Context(), Now().Add(20*time.Millisecond))
 	defer cancel()
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Second):
-		t.Fatal("the context goes on")
+		t.Fatal("the context did not end at its deadline")
 	}
 	is.Equal(ctx.Err(), context.DeadlineExceeded)
 	other, cancel := WithDeadline(t.Context(), Now().Add(time.Minute))
--- a/core/clock/context.go
+++ b/core/clock/context.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// WithDeadline returns a context that ends at a value of Now, also if the machine is
-// suspended meanwhile: shortly after it has woken up then.
+// WithDeadline returns a context that ends at the given value of Now. If the machine is
+// suspended at that time, the context ends shortly after the machine resumes.
 func WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	inner, cancel := context.WithCancelCause(parent)
 	c := &deadlineContext{Context: inner, at: at, cancel: cancel}
 	c.timer = time.AfterFunc(Until(at), c.expire)
-	forget := wakeups.add(c.woken)
+	remove := wakeups.add(c.resetTimer)
 	return c, func() {
-		forget()
+		remove()
 		c.timer.Stop()
 		cancel(context.Canceled)
 	}
 }
 
-// deadlineContext is a context with a deadline.
+// deadlineContext is a context whose deadline includes suspensions of the machine.
 type deadlineContext struct {
 	context.Context
 	at     time.Time
@@ -30,11 +30,11 @@
 
 func (c *deadlineContext) expire() { c.cancel(context.DeadlineExceeded) }
 
-// woken sets the timer anew, which stood still.
-func (c *deadlineContext) woken() { c.timer.Reset(Until(c.at)) }
+// resetTimer sets the timer to the remaining time: the timer stopped during a suspension.
+func (c *deadlineContext) resetTimer() { c.timer.Reset(Until(c.at)) }
 
-// Deadline returns when the runtime's clock will show the deadline, if the machine is not
-// suspended before.
+// Deadline returns the deadline on the runtime's clock, assuming that the machine is not
+// suspended before it.
 func (c *deadlineContext) Deadline() (time.Time, bool) {
 	at := time.Now().Add(Until(c.at))
 	if outer, ok := c.Context.Deadline(); ok && outer.Before(at) {
@@ -52,30 +52,31 @@
 	return err
 }
 
-// wakeInterval is how often it is looked whether the machine was suspended: a deadline
-// that has passed meanwhile is late by as much at most.
+// wakeInterval is how often listeners checks for a suspension. A deadline that passed
+// during a suspension is noticed at most this long after the machine resumes.
 const wakeInterval = 50 * time.Millisecond
 
-// wakeups are called after the machine was suspended.
+// wakeups holds the functions that are called after a suspension of the machine.
 var wakeups = &listeners{calls: make(map[uint64]func())}
 
-// listeners are functions to be called. They are safe for concurrent use.
+// listeners is a set of callbacks. It is safe for concurrent use.
 type listeners struct {
-	mu    sync.Mutex
-	next  uint64
-	calls map[uint64]func()
-	runs  bool
+	mu       sync.Mutex
+	next     uint64
+	calls    map[uint64]func()
+	watching bool
 }
 
-// add has a function called after each suspension until the one returned is called.
-func (l *listeners) add(call func()) (forget func()) {
+// add registers a function to be called after each suspension. The returned function
+// removes it.
+func (l *listeners) add(call func()) (remove func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.next++
 	id := l.next
 	l.calls[id] = call
-	if !l.runs {
-		l.runs = true
+	if !l.watching {
+		l.watching = true
 		go l.watch(Suspended())
 	}
 	return func() {
@@ -85,14 +86,14 @@
 	}
 }
 
-// watch looks for suspensions as long as there is anybody to call.
+// watch checks for suspensions periodically until there are no callbacks left.
 func (l *listeners) watch(known time.Duration) {
 	for {
 		time.Sleep(wakeInterval)
 		now := Suspended()
 		l.mu.Lock()
 		if len(l.calls) == 0 {
-			l.runs = false
+			l.watching = false
 			l.mu.Unlock()
 			return
 		}
--- a/core/timeline/clock.go
+++ b/core/timeline/clock.go
@@ -8,9 +8,9 @@
 // logicalBits is the width of the counter below the milliseconds of a Stamp.
 const logicalBits = 16
 
-// Stamp is a hybrid logical clock reading: wall-clock milliseconds in the
-// upper 48 bits, a counter in the lower 16. Stamps of causally ordered events
-// are ordered the same way, whatever the wall clocks say.
+// Stamp is a reading of a hybrid logical clock: wall-clock milliseconds in the upper 48
+// bits, a counter in the lower 16. Stamps of causally ordered events have the same order,
+// regardless of wall-clock skew.
 type Stamp uint64
 
 // Time returns the wall-clock part of the stamp.
@@ -24,7 +24,7 @@
 	last atomic.Uint64
 }
 
-// Now returns a stamp greater than every stamp given out or observed before.
+// Now returns a stamp greater than every stamp returned or observed before.
 func (c *Clock) Now(wall time.Time) Stamp {
 	physical := uint64(StampAt(wall))
 	for {
@@ -36,12 +36,12 @@
 	}
 }
 
-// maxAhead bounds how far a received stamp may pull the clock forward.
+// maxAhead is how far a received stamp may advance the clock beyond the wall clock.
 const maxAhead = time.Minute
 
 // Observe merges a stamp received from another process. A stamp more than one
-// minute ahead of the wall clock is ignored, so that one broken peer cannot
-// drag the whole fleet's clocks along.
+// minute ahead of the wall clock is ignored, so that one faulty peer cannot
+// advance the clocks of the whole fleet.
 func (c *Clock) Observe(s Stamp, wall time.Time) {
 	if s > StampAt(wall.Add(maxAhead)) {
 		return
--- a/core/timeline/timeline.go
+++ b/core/timeline/timeline.go
@@ -1,9 +1,9 @@
-// Package timeline keeps the recent decisions of one process as typed events
-// stamped with a hybrid logical clock, so that the events of all processes of
-// a fleet can be merged into one causally ordered time line.
+// Package timeline records the recent decisions of one process as typed events stamped
+// with a hybrid logical clock, so that the events of all processes of a fleet can be
+// merged into one causally ordered timeline.
 //
-// Each process holds a bounded ring: the newest events displace the oldest.
-// Every event is also written as a JSON log line, which is the durable form.
+// Each process has a ring buffer in which new events overwrite the oldest. Every event is
+// also written as a JSON log line, which is the durable form.
 package timeline
 
 import (
@@ -43,7 +43,7 @@
 	KindLead          Kind = "lead"
 )
 
-// Event is one decision: what was chosen about which subject, and why.
+// Event is one decision: what was decided about which subject, and why.
 type Event struct {
 	Clock   Stamp  `json:"clock"`
 	VM      vm.ID  `json:"vm"`
@@ -61,7 +61,7 @@
 	VM      vm.ID
 	Request string
 	Group   string
-	Limit   int // newest events kept, 0 = all
+	Limit   int // number of newest events to return, 0 = all
 }
 
 func (f Filter) matches(e Event) bool {
@@ -71,7 +71,7 @@
 		(f.Group == "" || f.Group == e.Group)
 }
 
-// Recorder keeps the ring of one process. It is safe for concurrent use.
+// Recorder holds the ring buffer of one process. It is safe for concurrent use.
 type Recorder struct {
 	clock Clock
 	vm    vm.ID
@@ -82,11 +82,11 @@
 	next int
 }
 
-// DefaultCapacity is the number of events a process keeps by default.
+// DefaultCapacity is the default size of the ring buffer, in events.
 const DefaultCapacity = 4096
 
-// NewRecorder returns a recorder for the process on the given VM that keeps
-// the newest capacity events.
+// NewRecorder returns a recorder for the process on the given VM. It retains the newest
+// events, up to the capacity.
 func NewRecorder(id vm.ID, capacity int, log zerolog.Logger) *Recorder {
 	return &Recorder{vm: id, log: log, ring: make([]Event, 0, capacity)}
 }
@@ -94,11 +94,11 @@
 // Clock returns the process's hybrid logical clock.
 func (r *Recorder) Clock() *Clock { return &r.clock }
 
-// Record stamps the event, keeps it and writes it to the log.
+// Record stamps the event, stores it in the ring buffer and writes it to the log.
 func (r *Recorder) Record(e Event) {
 	e.Clock = r.clock.Now(time.Now())
 	e.VM = r.vm
-	r.keep(e)
+	r.store(e)
 	r.log.Info().
 		Uint64("clock", uint64(e.Clock)).
 		Str("kind", string(e.Kind)).
@@ -110,7 +110,7 @@
 		Msg("event")
 }
 
-func (r *Recorder) keep(e Event) {
+func (r *Recorder) store(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.ring) < cap(r.ring) {
@@ -121,7 +121,7 @@
 	r.next = (r.next + 1) % len(r.ring)
 }
 
-// Select returns the kept events that match, oldest first.
+// Select returns the retained events that match the filter, oldest first.
 func (r *Recorder) Select(f Filter) []Event {
 	r.mu.Lock()
 	var out []Event
@@ -134,8 +134,8 @@
 	return Merge(f.Limit, out)
 }
 
-// Merge joins events of several processes into one list ordered by clock, then
-// by VM. A positive limit keeps only the newest ones.
+// Merge combines the events of several processes into one list ordered by clock, then by
+// VM. If limit is positive, only that many newest events are returned.
 func Merge(limit int, parts ...[]Event) []Event {
 	out := slices.Concat(parts...)
 	slices.SortFunc(out, func(a, b Event) int {
@@ -147,7 +147,7 @@
 	return out
 }
 
-// FilterFromWire reads a filter from a link message.
+// FilterFromWire converts a protobuf message to a filter.
 func FilterFromWire(q *wire.TimelineQuery) Filter {
 	return Filter{
 		Since:   Stamp(q.GetSince()),
@@ -158,7 +158,7 @@
 	}
 }
 
-// Wire returns the filter as it travels on a link.
+// Wire converts the filter to its protobuf message.
 func (f Filter) Wire() *wire.TimelineQuery {
 	return &wire.TimelineQuery{
 		Since:   uint64(f.Since),
@@ -169,7 +169,7 @@
 	}
 }
 
-// EventsToWire returns the events as they travel on a link.
+// EventsToWire converts events to a protobuf message.
 func EventsToWire(events []Event) *wire.TimelineReply {
 	out := &wire.TimelineReply{Events: make([]*wire.Event, len(events))}
 	for i, e := range events {
@@ -182,7 +182,7 @@
 	return out
 }
 
-// EventsFromWire reads events from a link message.
+// EventsFromWire converts a protobuf message to events.
 func EventsFromWire(r *wire.TimelineReply) []Event {
 	out := make([]Event, len(r.GetEvents()))
 	for i, e := range r.GetEvents() {
