--- a/core/platform/platform.go
+++ b/core/platform/platform.go
@@ -1,13 +1,13 @@
-// Package platform reads what the operators' platform publishes: configuration
-// resources and the list of VMs. Nothing is ever written there.
+// Package platform reads configuration resources and the list of VMs from the operators'
+// platform. It never writes to the platform.
 //
-// The protocol is HTTP: GET /v1/values/{key}?after=N&wait=D answers 200 with a
-// Value newer than revision N as soon as there is one, or 304 once the wait is
-// over. Values hold up to a megabyte, so configuration is published in shards:
-// the value "index" lists the shards and their revisions, and each shard lists
-// resources with the revision at which each last changed. A change costs its
-// reader two calls, whatever the size of the whole. The list of VMs is the
-// value "vms". A real platform with another protocol replaces this file.
+// The protocol is HTTP long polling: GET /v1/values/{key}?after=N&wait=D returns 200 with a
+// Value newer than revision N as soon as there is one, or 304 when the wait has passed.
+// A value is limited to a megabyte, so the configuration is published in shards: the value
+// "index" lists the shards and their revisions, and each shard lists resources with the
+// revision at which each last changed. A reader needs two calls to fetch a change,
+// regardless of the size of the configuration. The list of VMs is the value "vms". A
+// platform with another protocol needs another implementation of this file.
 package platform
 
 import (
@@ -28,13 +28,14 @@
 
 // Errors of the platform layer.
 var (
-	// ErrUnavailable means that the platform did not answer, or not in time.
+	// ErrUnavailable means that the platform did not respond in time, or responded
+	// with an unexpected status.
 	ErrUnavailable = eris.New("platform: unavailable")
 	// ErrUnchanged means that the wait ended without a newer revision.
 	ErrUnchanged = eris.New("platform: unchanged")
-	// ErrMalformed means that the platform's answer could not be read.
-	ErrMalformed = eris.New("platform: malformed answer")
-	// ErrStale means that a shard was older than the index said.
+	// ErrMalformed means that the platform's response could not be decoded.
+	ErrMalformed = eris.New("platform: malformed response")
+	// ErrStale means that a shard was older than its revision in the index.
 	ErrStale = eris.New("platform: stale shard")
 )
 
@@ -44,8 +45,8 @@
 	KeyVMs   = "vms"
 )
 
-// maxValueBytes is the largest value the platform holds, with some room for
-// the envelope.
+// maxValueBytes is the largest response that is read: the platform's limit of 1 MiB per
+// value plus 4 KiB for the envelope.
 const maxValueBytes = 1<<20 + 1<<12
 
 // Value is one published value.
@@ -72,16 +73,16 @@
 	Spec     json.RawMessage `json:"spec"`
 }
 
-// Source is what a process needs of the platform.
+// Source provides the configuration and the list of VMs to a process.
 type Source interface {
-	// Configuration waits for a revision larger than after.
+	// Configuration waits for a configuration with a revision larger than after.
 	Configuration(ctx context.Context, after uint64) (configuration.Batch, error)
 	// VMs waits for a list with a revision larger than after.
 	VMs(ctx context.Context, after uint64) (vm.List, error)
 }
 
-// Client is the Source over HTTP. Its methods may run concurrently with each
-// other, but each of them in one goroutine only.
+// Client is a Source that reads over HTTP. Different methods may run concurrently, but no
+// method may run concurrently with itself.
 type Client struct {
 	base   string
 	http   *http.Client
@@ -91,11 +92,11 @@
 
 type shardState struct {
 	revision uint64
-	keys     []resource.Key // a list: a map of many teams would cost three times the memory
+	keys     []resource.Key // a slice: with many teams a map would take three times the memory
 }
 
-// NewClient returns a client of the platform at the base URL. Watches wait up
-// to the given time before they ask again.
+// NewClient returns a client of the platform at the base URL. A long poll waits up to the
+// given time for a newer revision.
 func NewClient(base string, wait time.Duration) *Client {
 	return &Client{
 		base:   base,
@@ -119,8 +120,9 @@
 	return list, nil
 }
 
-// Configuration waits for a revision larger than after. The first batch, and
-// the first one after an error, is full; later ones hold what changed.
+// Configuration waits for a configuration with a revision larger than after. The first
+// batch, and the first one after a shard could not be read, is full; others hold only the
+// shards that changed.
 func (c *Client) Configuration(ctx context.Context, after uint64) (configuration.Batch, error) {
 	value, err := c.get(ctx, KeyIndex, after, c.wait)
 	if err != nil {
@@ -140,7 +142,8 @@
 	return batch, nil
 }
 
-// readShard adds a shard's resources to the batch, if the shard changed.
+// readShard adds a shard's resources, and the deletions since it was last read, to the
+// batch if the shard changed.
 func (c *Client) readShard(ctx context.Context, name string, revision uint64, batch *configuration.Batch) error {
 	old := c.shards[name]
 	if old.revision >= revision {
@@ -174,11 +177,11 @@
 	return nil
 }
 
-// answerSlack is how much longer than the wait an answer may take.
-const answerSlack = 5 * time.Second
+// responseSlack is how much longer than its wait a call may take.
+const responseSlack = 5 * time.Second
 
 func (c *Client) get(ctx context.Context, key string, after uint64, wait time.Duration) (Value, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+answerSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+responseSlack)
 	defer cancel()
 	u := fmt.Sprintf("%s/v1/values/%s?after=%d&wait=%s", c.base, url.PathEscape(key), after, wait)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
@@ -206,7 +209,7 @@
 		return Value{}, eris.Wrapf(ErrMalformed, "%s: %v", key, err)
 	}
 	if value.Revision <= after {
-		return Value{}, ErrUnchanged // a stale replica of the platform
+		return Value{}, ErrUnchanged // read from a stale replica of the platform
 	}
 	return value, nil
 }
--- a/core/process/logwriter.go
+++ b/core/process/logwriter.go
@@ -5,13 +5,12 @@
 	"sync/atomic"
 )
 
-// logQueue is how many lines may wait to be written: some seconds of a busy
-// gateway's log, at most a few hundred kilobytes.
-const logQueue = 2048
+// logQueueLength is the capacity of the queue, in lines: a few seconds of a busy gateway's
+// log, at most a few hundred kilobytes.
+const logQueueLength = 2048
 
-// LogWriter writes log lines in the background and drops them when the reader
-// of the log does not keep up, so that logging never blocks. It is safe for
-// concurrent use.
+// LogWriter writes log lines in the background. It drops lines when the log's reader does
+// not keep up, so that logging never blocks. It is safe for concurrent use.
 type LogWriter struct {
 	out     io.Writer
 	lines   chan []byte
@@ -21,16 +20,16 @@
 
 // NewLogWriter returns a writer to out and starts its goroutine.
 func NewLogWriter(out io.Writer) *LogWriter {
-	w := &LogWriter{out: out, lines: make(chan []byte, logQueue), flush: make(chan chan struct{})}
+	w := &LogWriter{out: out, lines: make(chan []byte, logQueueLength), flush: make(chan chan struct{})}
 	go w.run()
 	return w
 }
 
 // Write queues one line. It always reports success.
 func (w *LogWriter) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...) // the logger reuses its buffer
+	queued := append([]byte(nil), line...) // the logger reuses its buffer
 	select {
-	case w.lines <- kept:
+	case w.lines <- queued:
 	default:
 		w.dropped.Add(1)
 	}
@@ -72,6 +71,6 @@
 
 func (w *LogWriter) write(line []byte) {
 	if _, err := w.out.Write(line); err != nil {
-		w.dropped.Add(1) // there is nowhere else to say so but the counter
+		w.dropped.Add(1) // the error cannot be logged, only counted
 	}
 }
--- a/core/process/logwriter_test.go
+++ b/core/process/logwriter_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// blocked is a reader of the log that has stopped reading.
+// blocked is a writer that blocks until it is released, like a log whose reader has
+// stopped.
 type blocked struct{ release chan struct{} }
 
 func (b blocked) Write(p []byte) (int, error) {
@@ -19,15 +20,15 @@
 	is := is.New(t)
 	out := blocked{make(chan struct{})}
 	w := NewLogWriter(out)
-	for range 2 * logQueue {
+	for range 2 * logQueueLength {
 		_, err := w.Write([]byte("line\n"))
 		is.NoErr(err)
 	}
-	is.True(w.Dropped() >= logQueue-1)
+	is.True(w.Dropped() >= logQueueLength-1)
 	close(out.release)
 }
 
-func TestFlushWritesWhatWasQueued(t *testing.T) {
+func TestFlushWritesQueuedLines(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	w := NewLogWriter(&out)
--- a/core/process/process.go
+++ b/core/process/process.go
@@ -1,5 +1,6 @@
-// Package process holds what the commands of both programs share: the logger,
-// the life cycle from start to graceful stop, and the version command.
+// Package process holds the code that the commands of both programs share: logging, the
+// lifecycle from start to graceful shutdown, reloading of settings and the version
+// command.
 package process
 
 import (
@@ -29,16 +30,17 @@
 	return zerolog.New(w).Level(parsed).With().Timestamp().Logger()
 }
 
-// Service is something that a process runs.
+// Service is the server that a process runs.
 type Service interface {
-	// Start begins to serve and returns.
+	// Start begins serving and returns without waiting for the service to stop.
 	Start() error
-	// Stop drains and ends; the context's end cuts the drain short.
+	// Stop drains and shuts down the service. The drain is aborted when the context
+	// ends.
 	Stop(ctx context.Context) error
 }
 
-// Serve runs the service until SIGTERM or SIGINT, then stops it gracefully. A
-// second signal ends the drain at once.
+// Serve runs the service until SIGTERM or SIGINT, then shuts it down gracefully. A second
+// signal aborts the drain.
 func Serve(ctx context.Context, log zerolog.Logger, s Service) subcommands.ExitStatus {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -49,7 +51,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go noteSuspensions(ctx, log)
+	go logSuspensions(ctx, log)
 	<-signals
 	log.Info().Msg("draining")
 	go func() {
@@ -64,7 +66,7 @@
 	return subcommands.ExitSuccess
 }
 
-// Check loads settings from a file and says whether they are valid.
+// Check loads settings from a file and prints whether they are valid.
 func Check(path string, s settings.Validator) subcommands.ExitStatus {
 	if err := settings.Load(path, s); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/core/process/suspension.go
+++ b/core/process/suspension.go
@@ -10,12 +10,12 @@
 	"baywall.example/core/wait"
 )
 
-// suspensionLook is how often it is looked whether the machine was suspended, to log it.
-const suspensionLook = time.Second
+// suspensionCheckInterval is how often logSuspensions checks for a suspension.
+const suspensionCheckInterval = time.Second
 
-// noteSuspensions logs each suspension of the machine until the context ends.
-func noteSuspensions(ctx context.Context, log zerolog.Logger) {
-	for known := clock.Suspended(); wait.Sleep(ctx, suspensionLook); {
+// logSuspensions logs each suspension of the machine until the context ends.
+func logSuspensions(ctx context.Context, log zerolog.Logger) {
+	for known := clock.Suspended(); wait.Sleep(ctx, suspensionCheckInterval); {
 		now := clock.Suspended()
 		if now > known {
 			log.Warn().Dur("for", now-known).Msg("machine was suspended")
--- a/core/process/watch.go
+++ b/core/process/watch.go
@@ -11,20 +11,20 @@
 	"github.com/rs/zerolog"
 )
 
-// watchInterval is how often a file is looked at that may change without a
-// signal: well inside the seconds that operators allow for a change.
+// watchInterval is the interval at which a watched file is read, as it may change without
+// a signal. It is well below the few seconds within which operators expect a change to
+// take effect.
 const watchInterval = time.Second
 
-// WatchFile calls changed with the content of the file whenever it differs from
-// before, looking at it periodically and on SIGHUP. The function returned ends
-// that.
+// WatchFile reads the file periodically and on SIGHUP, and calls changed with its content
+// whenever it differs from the previous read. The returned function stops watching.
 func WatchFile(path string, log zerolog.Logger, changed func(path string, raw []byte)) (stop func()) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	done := make(chan struct{})
 	var once sync.Once
 	go func() {
-		last, _ := os.ReadFile(path) // it was read a moment ago
+		last, _ := os.ReadFile(path) // the caller has just loaded this content
 		ticker := time.NewTicker(watchInterval)
 		defer ticker.Stop()
 		for {
@@ -32,12 +32,12 @@
 			case <-done:
 				return
 			case <-hangup:
-				log.Info().Str("path", path).Msg("told to reload")
+				log.Info().Str("path", path).Msg("SIGHUP received; reloading the settings file")
 			case <-ticker.C:
 			}
 			raw, err := os.ReadFile(path)
 			if err != nil {
-				log.Error().Err(err).Msg("settings file not read, the old settings stay in force")
+				log.Error().Err(err).Msg("settings file could not be read; keeping the current settings")
 				continue
 			}
 			if !bytes.Equal(raw, last) {
--- a/core/process/watch_test.go
+++ b/core/process/watch_test.go
@@ -11,7 +11,8 @@
 	"github.com/rs/zerolog"
 )
 
-// A process that watches its settings survives SIGHUP and takes the change.
+// SIGHUP does not terminate a process that watches its settings file, and makes it apply
+// the change.
 func TestSIGHUPReloadsTheFile(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings.yaml")
@@ -19,13 +20,13 @@
 	changed := make(chan string, 1)
 	stop := WatchFile(path, zerolog.Nop(), func(_ string, raw []byte) { changed <- string(raw) })
 	defer stop()
-	time.Sleep(50 * time.Millisecond) // the first content is read
+	time.Sleep(50 * time.Millisecond) // until the watcher has read the first content
 	is.NoErr(os.WriteFile(path, []byte("b"), 0o600))
 	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	select {
 	case content := <-changed:
 		is.Equal(content, "b")
 	case <-time.After(5 * time.Second):
-		t.Fatal("not noticed")
+		t.Fatal("the change was not noticed")
 	}
 }
--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -1,8 +1,9 @@
-// Package rendezvous orders nodes for a key by highest random weight.
+// Package rendezvous implements rendezvous hashing (highest random weight): it orders
+// nodes for a key.
 //
-// Every process that holds the same node list computes the same order without
-// any message. When a node leaves, only the keys it came first for move. The
-// hash is xxHash64 over the node and the key; it is not meant to resist an
+// Every process with the same list of nodes computes the same order without any
+// communication. When a node is removed, only the keys for which it came first move. The
+// weight combines the xxHash64 values of the node and the key; it does not resist an
 // adversary who chooses node names.
 package rendezvous
 
@@ -16,8 +17,8 @@
 // Hash returns the 64-bit hash of a string key.
 func Hash(key string) uint64 { return xxhash.Sum64String(key) }
 
-// Weight returns the weight of a node for a key; the largest weight wins.
-// Both arguments are hashes, so that callers can precompute them.
+// Weight returns the weight of a node for a key; the node with the largest weight comes
+// first. Both arguments are hashes, so that callers can precompute them.
 func Weight(node, key uint64) uint64 {
 	x := node ^ (key * 0x9e3779b97f4a7c15)
 	x ^= x >> 33
@@ -27,8 +28,8 @@
 	return x ^ x>>33
 }
 
-// Order returns the nodes sorted by falling weight for the key. The name
-// function gives each node's unique name, which also breaks ties.
+// Order returns the nodes sorted by descending weight for the key. The name function
+// returns each node's unique name, which also breaks ties.
 func Order[T any](nodes []T, key string, name func(T) string) []T {
 	type weighted struct {
 		node   T
--- a/core/vm/vm.go
+++ b/core/vm/vm.go
@@ -1,5 +1,5 @@
-// Package vm describes the virtual machines that a fleet runs on: their
-// identity, the incarnation of the process on each, and the platform's list.
+// Package vm describes the VMs of a fleet: their identity, the incarnation of the process
+// on each, and the platform's list of VMs.
 package vm
 
 import (
@@ -11,9 +11,9 @@
 // ID names a VM. It is unique in a fleet and survives a process restart.
 type ID string
 
-// Incarnation numbers the process starts on one VM. A later start has a larger
-// number; it is derived from the wall clock in microseconds, so no state has
-// to survive a restart.
+// Incarnation identifies one run of the process on a VM. A later start has a larger
+// number. It is the wall-clock time of the start in microseconds, so that no state has to
+// survive a restart.
 type Incarnation uint64
 
 // NewIncarnation returns the incarnation of a process that starts at now.
@@ -21,41 +21,40 @@
 	return Incarnation(now.UnixMicro())
 }
 
-// StartedAt returns the wall-clock time at which the incarnation began.
+// StartedAt returns the wall-clock time at which the incarnation started.
 func (i Incarnation) StartedAt() time.Time { return time.UnixMicro(int64(i)) }
 
-// Role tells which program runs on a VM.
+// Role identifies the program that runs on a VM.
 type Role string
 
-// The two roles of a fleet.
+// Roles of VMs.
 const (
 	RoleEntry   Role = "entry"
 	RoleBackend Role = "backend"
 )
 
-// State is what the platform says about a VM.
+// State is the state of a VM on the platform's list.
 type State string
 
-// The states of the platform's list. A VM that is gone is not listed.
+// States of VMs. A VM that has been removed is not listed.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
 )
 
-// VM is one row of the platform's list.
+// VM is one entry of the platform's list.
 type VM struct {
 	ID       ID       `json:"id"`
 	Zone     zone.ID  `json:"zone"`
 	Role     Role     `json:"role"`
-	HTTP     string   `json:"http,omitempty"`  // host:port callers connect to, entry VMs only
-	Link     string   `json:"link"`            // host:port other VMs dial
+	HTTP     string   `json:"http,omitempty"`  // host:port for callers, entry VMs only
+	Link     string   `json:"link"`            // host:port for links from other VMs
 	Probe    string   `json:"probe,omitempty"` // UDP host:port, entry VMs only
 	Services []string `json:"services,omitempty"`
 	State    State    `json:"state"`
 }
 
-// List is the platform's list of live and leaving VMs at one revision. It is
-// never changed after it was made.
+// List is the platform's list of live and leaving VMs at one revision. It is immutable.
 type List struct {
 	Revision uint64 `json:"revision"`
 	VMs      []VM   `json:"vms"`
--- a/core/wait/wait.go
+++ b/core/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds waits that end early with a context.
+// Package wait provides a sleep that a context can interrupt.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for the duration and reports true, or false as soon as the context
+// Sleep waits for the duration and returns true. It returns false as soon as the context
 // ends.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
--- a/core/zone/zone.go
+++ b/core/zone/zone.go
@@ -1,11 +1,11 @@
-// Package zone names availability zones and orders things by nearness.
+// Package zone identifies availability zones and compares them by proximity.
 package zone
 
 // ID names an availability zone.
 type ID string
 
 // Rank returns 0 for the local availability zone and 1 for any other one, so
-// that a stable sort by Rank puts the own zone first.
+// that a stable sort puts the local one first.
 func Rank(local, other ID) int {
 	if local == other {
 		return 0
@@ -13,7 +13,7 @@
 	return 1
 }
 
-// Spread counts the distinct availability zones among the given ones.
+// Spread returns the number of distinct availability zones among the given ones.
 func Spread(zones []ID) int {
 	seen := make(map[ID]struct{}, len(zones))
 	for _, z := range zones {
