--- a/entry/catalog/catalog.go
+++ b/entry/catalog/catalog.go
@@ -9,10 +9,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrInvalid means that a configuration cannot be put in force.
+// ErrInvalid is returned for a configuration that cannot be applied.
 var ErrInvalid = eris.New("catalog: invalid configuration")
 
-// Kind tells how often a request of a route may run.
+// Kind says how often a request of a route may run.
 type Kind int
 
 // Kinds of routes.
@@ -26,29 +26,29 @@
 	KindStream
 )
 
-// Route sends requests of one host and path prefix to services.
+// Route maps the requests of one host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout is the longest time that a caller is kept waiting, 0 = unbounded.
+	// Timeout bounds how long a caller waits for the answer; 0 means no bound.
 	Timeout time.Duration
-	// Objective is the time to the answer (streams: to the first event) within
-	// which it is on time.
+	// Objective is the latency objective: an answer, or the first event of a
+	// stream, that arrives within it is on time.
 	Objective time.Duration
-	// GapTarget is the longest pause between two events of a stream that is on
-	// time, 0 = none declared.
+	// GapTarget is the longest pause between two events for a stream to count
+	// as on time; 0 means that no target is set.
 	GapTarget time.Duration
 	// MaxAttempts is how many backend servers one caller attempt may run on.
 	MaxAttempts int
-	// Priority is the route's rank, 0 is the most urgent.
+	// Priority is the route's priority class; 0 is the most urgent.
 	Priority int
 	// Public routes need no API key.
 	Public bool
-	// Resumable streams may go on at another backend server.
+	// Resumable streams may continue at another backend server.
 	Resumable bool
-	// Targets are the services by weight; there is at least one.
+	// Targets are the weighted services; there is at least one.
 	Targets []Target
 }
 
@@ -88,22 +88,22 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int // connections of all callers together to one backend server
-	// Engine describes the model engines of the service; nil for plain ones.
+	MaxConns   int // connections from all callers together to one backend server
+	// Engine describes the model engines of the service; nil for a service without any.
 	Engine *Engine
-	// Cold tells what a backend server bears that has just started.
+	// Cold limits the requests to a backend server that has just started.
 	Cold Cold
 }
 
-// Cold is what backend servers of a service bear while they are cold: for some time after
-// their start, and whenever they say so. The zero value means that they bear all.
+// Cold limits the requests to a service's backend servers while they are cold: for some
+// time after their start, and whenever they report it. The zero value sets no limit.
 type Cold struct {
 	Lasts     time.Duration // after a start
-	PerSecond float64       // requests from all callers together, 0 = no bound
+	PerSecond float64       // requests from all callers together, 0 = no limit
 }
 
-// Engine is what operators publish about a service's model engines. Times are
-// those of one token step.
+// Engine holds the parameters that operators publish for a service's model
+// engines. Times are those of one token step.
 type Engine struct {
 	Slots           int           // requests in one batch
 	StepTime        time.Duration // a step with an empty batch
@@ -117,7 +117,7 @@
 	MaxNewExperts   int     // per layer set in one preparation
 	ExpertBytes     float64
 	LinkBytesPerSec float64
-	ExpertShare     float64 // of a token's work
+	ExpertShare     float64 // the experts' part of the work for a token
 }
 
 // Team is a tenant with its API keys.
@@ -135,7 +135,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Content is a configuration in full, as a source decoded it.
+// Content is a complete configuration as a source decoded it.
 type Content struct {
 	Version  uint64
 	Routes   []Route
@@ -144,25 +144,25 @@
 	Limits   Limits
 }
 
-// Snapshot is a configuration with its lookup tables. It never changes.
+// Snapshot is a configuration with its lookup tables. It is immutable.
 type Snapshot struct {
-	Version  uint64
-	Limits   Limits
-	hosts    map[string][]*Route // longest prefix first
-	services map[string]*Service
-	teams    map[string]*Team // by API key
-	keyed    bool             // there are teams, so requests need a key
+	Version     uint64
+	Limits      Limits
+	hosts       map[string][]*Route // longest prefix first
+	services    map[string]*Service
+	teams       map[string]*Team // by API key
+	requiresKey bool             // teams are configured, so requests need an API key
 }
 
-// New builds a snapshot.
+// New validates the routes and builds a snapshot.
 func New(c Content) (*Snapshot, error) {
 	s := &Snapshot{
-		Version:  c.Version,
-		Limits:   c.Limits,
-		hosts:    make(map[string][]*Route),
-		services: make(map[string]*Service, len(c.Services)),
-		teams:    make(map[string]*Team),
-		keyed:    len(c.Teams) > 0,
+		Version:     c.Version,
+		Limits:      c.Limits,
+		hosts:       make(map[string][]*Route),
+		services:    make(map[string]*Service, len(c.Services)),
+		teams:       make(map[string]*Team),
+		requiresKey: len(c.Teams) > 0,
 	}
 	for i := range c.Services {
 		s.services[c.Services[i].Name] = &c.Services[i]
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// Match returns the route with the longest prefix of the path, or nil.
+// Match returns the host's route with the longest matching path prefix, or nil.
 func (s *Snapshot) Match(host, path string) *Route {
 	for _, r := range s.hosts[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -215,14 +215,14 @@
 	return nil
 }
 
-// Service returns the service of the name, or nil.
+// Service returns the service with the given name, or nil.
 func (s *Snapshot) Service(name string) *Service { return s.services[name] }
 
-// Services returns all services.
+// Services returns all services by name.
 func (s *Snapshot) Services() map[string]*Service { return s.services }
 
-// Keyed reports whether requests need an API key, public routes apart.
-func (s *Snapshot) Keyed() bool { return s.keyed }
+// Keyed reports whether requests need an API key, except on public routes.
+func (s *Snapshot) Keyed() bool { return s.requiresKey }
 
 // Team returns the team that holds the API key, or nil.
 func (s *Snapshot) Team(key string) *Team { return s.teams[key] }
--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -15,7 +15,7 @@
 	return Route{Name: name, Host: host, Prefix: prefix, Targets: []Target{{Service: name, Weight: 1}}}
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	s, err := New(content(1, route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/"), route("other", "b.example", "/")))
 	is.New(t).NoErr(err)
 	cases := []struct{ host, path, want string }{
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestSharesFollowTheWeights(t *testing.T) {
+func TestPickFollowsTheWeights(t *testing.T) {
 	is := is.New(t)
 	r := Route{Targets: []Target{{"a", 90}, {"b", 10}, {"c", 0}}}
 	is.Equal(r.Pick(0), "a")
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestTheStoreNeverGoesBack(t *testing.T) {
+func TestStoreNeverAppliesALowerVersion(t *testing.T) {
 	is := is.New(t)
 	var store Store
 	is.Equal(store.Version(), uint64(0))
@@ -77,7 +77,7 @@
 	is.Equal(store.Version(), uint64(9))
 }
 
-func TestAKeyNamesItsTeam(t *testing.T) {
+func TestTeamIsFoundByAPIKey(t *testing.T) {
 	is := is.New(t)
 	s, err := New(Content{Version: 1, Teams: []Team{{Name: "water", Keys: []string{"k1", "k2"}}}})
 	is.NoErr(err)
--- a/entry/catalog/store.go
+++ b/entry/catalog/store.go
@@ -22,8 +22,8 @@
 	return 0
 }
 
-// Apply puts the snapshot in force unless one of a higher version is, or one of the same
-// version that was not rewritten since. It reports whether it did.
+// Apply puts the snapshot in force and reports whether it did. It refuses a version lower
+// than the current one, and the same version unless that was rewritten in the source.
 func (s *Store) Apply(next *Snapshot, rewritten bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/upstream/conn.go
+++ b/entry/upstream/conn.go
@@ -14,73 +14,72 @@
 	"baywall.example/core/clock"
 )
 
-// Errors of this layer.
+// Errors of an exchange.
 var (
-	// ErrNotSent means that no byte of the request left: it did not run.
-	ErrNotSent = eris.New("upstream: not sent")
-	// ErrEnded comes with ErrNotSent where the host refuses connections: no process
-	// listens.
-	ErrEnded = eris.New("upstream: the server has ended")
-	// ErrLost means that the request was, or may have been, sent and no whole
-	// answer came: it may have run.
-	ErrLost = eris.New("upstream: lost after it was sent")
+	// ErrNotSent means that no byte of the request was sent: it did not run.
+	ErrNotSent = eris.New("upstream: request not sent")
+	// ErrEnded is joined with ErrNotSent if the host refuses the connection: no
+	// process listens at the address.
+	ErrEnded = eris.New("upstream: connection refused: no process listens")
+	// ErrLost means that the request was, or may have been, sent and no complete
+	// answer was received: it may have run.
+	ErrLost = eris.New("upstream: connection lost after the request was sent")
 )
 
 const (
 	// keepAliveIdle, keepAliveInterval and keepAliveCount bound how long a
-	// silent partition goes unnoticed: 1 s + 3 x 0.5 s, inside the 3 s in which
-	// the platform expects a VM to notice.
+	// network partition goes unnoticed: 1 s + 3 x 0.5 s, within the 3 s in which
+	// the platform expects a VM to notice it.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveCount    = 3
-	// bufferSize of a connection's reader, in bytes: an event of a stream and
-	// the headers of an answer fit.
+	// bufferSize is the size of a connection's read buffer, in bytes: an event of
+	// a stream and the headers of an answer fit into it.
 	bufferSize = 2048
-	// maxIdlePerServer bounds the kept connections to one backend server; a
-	// gateway seldom has more requests in flight to one.
+	// maxIdlePerServer bounds the idle connections to one backend server; a
+	// gateway rarely has more requests in flight to one.
 	maxIdlePerServer = 8
-	// idleMargin is taken off the time for which a backend server says it keeps
-	// an idle connection, for the way there.
+	// idleMargin is subtracted from the idle timeout that a backend server
+	// announces, to allow for the network delay.
 	idleMargin = 500 * time.Millisecond
-	// defaultIdle is how long a connection is kept where the backend server
-	// says nothing.
+	// defaultIdle is the idle timeout if the backend server announces none.
 	defaultIdle = 2 * time.Second
 )
 
 // conn is one connection to a backend server.
 type conn struct {
 	net.Conn
-	reader *bufio.Reader
-	opened time.Time
-	until  time.Time // reuse it before this time
+	reader  *bufio.Reader
+	opened  time.Time
+	expires time.Time // not reused after this time
 }
 
 // Pool keeps the idle connections to one backend server. It is safe for
 // concurrent use.
 type Pool struct {
-	address string
-	dialer  net.Dialer
-	look    look
+	address       string
+	dialer        net.Dialer
+	livenessProbe livenessProbe
 
 	mu     sync.Mutex
-	idle   []*conn // the most recently used last
+	idle   []*conn // most recently used last
 	closed bool
 }
 
-// NewPool returns the pool of the backend server at an IP:port.
+// NewPool returns an empty pool for the backend server at the IP:port.
 func NewPool(address string, dialTimeout time.Duration) *Pool {
 	keepAlive := net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 	return &Pool{address: address, dialer: net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive}}
 }
 
-// take returns a kept connection that still looks usable, or nil.
+// take returns an idle connection that still looks usable, or nil.
 func (p *Pool) take(now time.Time) *conn {
 	for {
 		c := p.pop()
 		if c == nil {
 			return nil
 		}
-		if now.Before(c.until) && c.quiet() {
+		if now.Before(c.expires) && c.usable() {
 			return c
 		}
 		_ = c.Close() // nothing is in flight on it
@@ -109,7 +108,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// Close closes the idle connections; those in use are closed when they return.
+// Close closes the idle connections; those in use are closed when they are put back.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,9 +134,9 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, bufferSize), opened: clock.Now()}
 }
 
-// quiet reports whether an idle connection is open with nothing to read: bytes
-// that wait there belong to no request of ours.
-func (c *conn) quiet() bool {
+// usable reports whether an idle connection is open and has no unread bytes:
+// such bytes would not belong to any request of this gateway.
+func (c *conn) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
--- a/entry/upstream/doc.go
+++ b/entry/upstream/doc.go
@@ -1,13 +1,13 @@
-// Package upstream sends requests straight to backend servers over HTTP/1.1
-// connections of its own.
+// Package upstream sends requests directly to backend servers over HTTP/1.1
+// connections that it manages itself.
 //
-// The transport of the standard library resends a request by itself when a
+// The transport of the standard library resends a request on its own when a
 // reused connection dies, and may pair a late answer with the next request.
-// Here every send is an explicit decision of the caller. An Exchange is one
-// request on one connection; it ends in an Answer or in an Error that tells
-// whether the request may have reached the backend server. A connection goes
-// back to its pool only after a whole request and a whole answer, with nothing
-// left to read, and is looked at again before it is reused. Where the answer
-// names a request id other than the one sent, it belongs to an earlier request
-// and is skipped.
+// In this package every send is an explicit decision of the caller. An exchange
+// is one request on one connection; it results in an Answer, or in an error that
+// tells whether the request may have reached the backend server. A connection
+// returns to its pool only after a complete request and a complete answer, with
+// nothing left to read, and is checked again before it is reused. An answer that
+// carries another request id than the one sent belongs to an earlier request and
+// is skipped.
 package upstream
--- a/entry/upstream/exchange.go
+++ b/entry/upstream/exchange.go
@@ -17,12 +17,13 @@
 )
 
 const (
-	// maxStrays is how many answers to earlier requests are skipped before the
-	// connection is given up.
-	maxStrays = 4
+	// maxStaleAnswers is how many answers to earlier requests are skipped, interim
+	// answers included, before the connection is closed.
+	maxStaleAnswers = 4
 	// inlineBody is the largest body, in bytes, that is written before the
-	// answer is read: it fits a socket's send buffer. Larger ones are written
-	// beside reading, as a backend server may answer before it has read all.
+	// answer is read: it fits into a socket's send buffer. Larger bodies are
+	// written while the answer is read, as a backend server may answer before it
+	// has read the whole body.
 	inlineBody = 16 << 10
 )
 
@@ -36,25 +37,25 @@
 	Body   []byte
 	// IDHeader names the header whose echo in an answer identifies the request.
 	IDHeader string
-	// Fresh demands a new connection: a kept one may be closing, and then
-	// nobody can tell whether the request ran.
+	// Fresh requests a new connection: an idle one may be closing, and then it
+	// cannot be told whether the request ran.
 	Fresh bool
-	// Check, if not nil, is asked when there is a connection, just before the request is
-	// written; with an error it is not.
+	// Check, if not nil, is called when a connection is available, just before the
+	// request is written. If it returns an error, the request is not written.
 	Check func() error
 }
 
-// Answer is a backend server's answer. Close it.
+// Answer is a backend server's answer. It must be closed.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Body fails with an error unless it ends as the backend server meant it.
+	// Body fails with ErrLost unless it ends as its framing announced.
 	Body io.Reader
-	// Reused tells that the connection had carried an earlier request.
+	// Reused reports whether the connection had carried an earlier request.
 	Reused bool
-	// Opened is when the connection was.
+	// Opened is when the connection was opened.
 	Opened time.Time
-	// Length is the announced length in bytes, -1 if there is none.
+	// Length is the announced length in bytes, -1 if none was announced.
 	Length int64
 
 	pool    *Pool
@@ -65,9 +66,9 @@
 	ended   bool
 }
 
-// Do sends the request and returns the head of the answer. The context bounds
-// the whole exchange, the body included: its end closes the connection. The
-// error is ErrNotSent, ErrLost, or that of the request's Check.
+// Do sends the request and returns once the head of the answer has been read. The
+// context bounds the whole exchange, the body included: the connection is closed
+// when it ends. The error is ErrNotSent, ErrLost, or that of the request's Check.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Answer, error) {
 	c, reused, err := p.connect(ctx, r.Fresh)
 	if err != nil {
@@ -77,7 +78,7 @@
 	a.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if r.Check != nil {
 		if err := r.Check(); err != nil {
-			p.giveBack(a)
+			p.release(a)
 			return nil, err
 		}
 	}
@@ -88,14 +89,14 @@
 	return a, nil
 }
 
-// giveBack keeps the connection of an exchange that has not begun.
-func (p *Pool) giveBack(a *Answer) {
+// release returns the connection of an exchange that has not begun to the pool.
+func (p *Pool) release(a *Answer) {
 	if !a.stop() {
-		_ = a.conn.Close() // its time is up
+		_ = a.conn.Close() // the context has ended
 		return
 	}
 	if !a.Reused {
-		a.conn.until = clock.Now().Add(defaultIdle)
+		a.conn.expires = clock.Now().Add(defaultIdle)
 	}
 	p.put(a.conn)
 }
@@ -114,7 +115,7 @@
 	if err := a.send(r); err != nil {
 		return eris.Wrapf(ErrLost, "write to %s: %v", a.pool.address, err)
 	}
-	for range maxStrays {
+	for range maxStaleAnswers {
 		resp, err := http.ReadResponse(a.conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return eris.Wrapf(ErrLost, "read from %s: %v", a.pool.address, err)
@@ -137,7 +138,7 @@
 // skip reads over an answer that belongs to an earlier request.
 func skip(resp *http.Response) error {
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		return errors.New("it ends with the connection")
+		return errors.New("body is delimited by the end of the connection")
 	}
 	_, err := io.Copy(io.Discard, resp.Body)
 	return err
@@ -163,7 +164,7 @@
 	}
 	go func() {
 		_, err := a.conn.Write(r.Body)
-		a.written.Store(err == nil) // a failed write shows in the answer
+		a.written.Store(err == nil) // a failed write shows when the answer is read
 	}()
 	return nil
 }
@@ -194,7 +195,7 @@
 	return b.Bytes()
 }
 
-// bodyReader notes when the body has ended as announced.
+// bodyReader records when the body has ended as announced.
 type bodyReader struct{ a *Answer }
 
 func (r bodyReader) Read(p []byte) (int, error) {
@@ -207,16 +208,16 @@
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept if all of the request was
-// written and all of the answer read; else it is closed, which tells the
-// backend server to stop.
+// Close ends the exchange. The connection returns to the pool if the whole
+// request was written and the whole answer read; otherwise it is closed, which
+// tells the backend server to stop.
 func (a *Answer) Close() {
 	aborted := !a.stop()
 	if aborted || !a.reusable() {
 		_ = a.conn.Close() // the exchange is over; its outcome is known
 		return
 	}
-	a.conn.until = clock.Now().Add(idleTime(a.Header))
+	a.conn.expires = clock.Now().Add(idleTime(a.Header))
 	a.pool.put(a.conn)
 }
 
@@ -228,7 +229,7 @@
 	return framed && a.conn.reader.Buffered() == 0
 }
 
-// idleTime returns for how long the backend server keeps an idle connection,
+// idleTime returns how long the backend server keeps an idle connection open,
 // less a margin.
 func idleTime(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
--- a/entry/upstream/liveness.go
+++ b/entry/upstream/liveness.go
@@ -10,43 +10,44 @@
 	"baywall.example/core/clock"
 )
 
-// Liveness is what a new connection tells of a backend server's process.
+// Liveness is the state of a backend server's process as a new connection shows it.
 type Liveness int
 
-// Livenesses.
+// Liveness states.
 const (
-	Silent    Liveness = iota + 1 // no answer in time: nothing is known of the process
-	Listening                     // a process takes connections at the address
-	Ended                         // the host says that no process does
+	Silent    Liveness = iota + 1 // no reply in time: the process's state is unknown
+	Listening                     // a process accepts connections at the address
+	Ended                         // the host refuses the connection: no process listens
 )
 
 // String returns the liveness's name.
 func (l Liveness) String() string { return [...]string{"", "silent", "listening", "ended"}[l] }
 
-// look is the latest look at a backend server. It is safe for concurrent use.
-type look struct {
-	mu    sync.Mutex
-	ended time.Time
-	shown Liveness
+// livenessProbe holds the latest liveness probe of a backend server. The mutex is held
+// during a probe.
+type livenessProbe struct {
+	mu       sync.Mutex
+	finished time.Time
+	result   Liveness
 }
 
-// Liveness opens a connection to tell whether the backend server's process has ended. A
-// connection that is taken is kept for a later request. All requests that were on a server
-// are lost in the same millisecond and share one look, as each costs the server a
-// connection.
+// Liveness opens a connection to find out whether the backend server's process has ended.
+// An accepted connection is put into the pool for a later request. When a server ends, all
+// requests on it are lost within the same millisecond; their concurrent calls share one
+// probe, as each probe costs the server a connection.
 func (p *Pool) Liveness(ctx context.Context) Liveness {
-	asked := clock.Now()
-	p.look.mu.Lock()
-	defer p.look.mu.Unlock()
-	if p.look.shown != 0 && !asked.After(p.look.ended) {
-		return p.look.shown // it was under way
+	started := clock.Now()
+	p.livenessProbe.mu.Lock()
+	defer p.livenessProbe.mu.Unlock()
+	if p.livenessProbe.result != 0 && !started.After(p.livenessProbe.finished) {
+		return p.livenessProbe.result // this probe was running when the call began
 	}
-	p.look.shown = p.connectable(ctx)
-	p.look.ended = clock.Now()
-	return p.look.shown
+	p.livenessProbe.result = p.probeLiveness(ctx)
+	p.livenessProbe.finished = clock.Now()
+	return p.livenessProbe.result
 }
 
-func (p *Pool) connectable(ctx context.Context) Liveness {
+func (p *Pool) probeLiveness(ctx context.Context) Liveness {
 	raw, err := p.dialer.DialContext(ctx, "tcp", p.address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return Ended
@@ -55,7 +56,7 @@
 		return Silent
 	}
 	c := newConn(raw)
-	c.until = clock.Now().Add(defaultIdle)
+	c.expires = clock.Now().Add(defaultIdle)
 	p.put(c)
 	return Listening
 }
--- a/entry/upstream/upstream_test.go
+++ b/entry/upstream/upstream_test.go
@@ -17,7 +17,7 @@
 
 const idHeader = "Test-Id"
 
-// server answers each request on a connection with what the script says.
+// server answers each request on a connection by calling the script.
 type server struct {
 	listener net.Listener
 	script   func(n int, r *http.Request, c net.Conn) (keep bool)
@@ -89,13 +89,13 @@
 	return string(raw), a.Reused, err
 }
 
-// hello answers each request well.
+// hello answers each request with a complete answer.
 func hello(_ int, r *http.Request, c net.Conn) bool {
 	_, _ = io.WriteString(c, whole(r, "hello"))
 	return true
 }
 
-func TestConnectionsAreReusedAfterWholeAnswers(t *testing.T) {
+func TestConnectionsAreReusedAfterCompleteAnswers(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t, hello)
 	p := s.pool()
@@ -116,9 +116,9 @@
 	is.True(!reused)
 }
 
-// An answer that comes late, where the next one is expected, names another
-// request and is skipped.
-func TestALateAnswerReachesNoOtherRequest(t *testing.T) {
+// A late answer to an earlier request, read where the next answer is expected, carries
+// another request id and is skipped.
+func TestLateAnswerIsNotPairedWithTheNextRequest(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t, func(n int, r *http.Request, c net.Conn) bool {
 		if n == 2 {
@@ -136,9 +136,9 @@
 	}
 }
 
-// Bytes behind a whole answer belong to no request: the connection is not used
-// again.
-func TestSurplusBytesEndTheConnection(t *testing.T) {
+// Bytes after a complete answer belong to no request: the connection is not
+// reused.
+func TestSurplusBytesPreventReuse(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t, func(_ int, r *http.Request, c net.Conn) bool {
 		_, _ = io.WriteString(c, whole(r, "right")+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestEndsOfAnswers(t *testing.T) {
+func TestAnswerFraming(t *testing.T) {
 	cases := []struct {
 		name  string
 		bytes string
@@ -200,9 +200,9 @@
 	is.True(errors.Is(err, ErrNotSent))
 }
 
-// The end of the context closes the connection, which tells the backend server
+// When the context ends, the connection is closed, which tells the backend server
 // to stop.
-func TestTheContextsEndClosesTheConnection(t *testing.T) {
+func TestEndOfTheContextClosesTheConnection(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
 	s := newServer(t, func(_ int, _ *http.Request, c net.Conn) bool {
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestIdleTimesFollowTheServer(t *testing.T) {
+func TestIdleTimeFollowsTheKeepAliveHeader(t *testing.T) {
 	is := is.New(t)
 	is.Equal(idleTime(http.Header{"Keep-Alive": {"max=5, timeout=3"}}), 3*time.Second-idleMargin)
 	is.Equal(idleTime(http.Header{"Keep-Alive": {"timeout=x"}}), defaultIdle)
@@ -239,7 +239,7 @@
 	is.Equal(p.Liveness(t.Context()), Listening)
 	_, reused, err := do(p, request("1"))
 	is.NoErr(err)
-	is.True(reused) // the connection that told it
+	is.True(reused) // the connection that the liveness probe opened
 	s.listener.Close()
 	is.Equal(p.Liveness(t.Context()), Ended)
 	over, cancel := context.WithCancel(t.Context())
