--- a/entry/backend/backend.go
+++ b/entry/backend/backend.go
@@ -1,11 +1,12 @@
-// Package backend keeps what one entry VM knows about the backend servers: the
-// link to each agent, its load reports, and whether it may get new work.
+// Package backend tracks the state of the backend servers as one entry VM sees
+// it: the link to each agent, its load reports, and whether the backend server
+// may get new requests.
 //
-// A backend server gets new work while the platform lists it as live, its agent
-// is not draining, and the agent is not silent. Reports come every 200 ms and
-// are the agent's heartbeat; silence of a second, or a broken link, makes the
-// backend server suspect until it reports again. What a suspect one holds is
-// not given up by that alone.
+// A backend server gets new requests while the platform lists it as live, its
+// agent is not draining, and the agent reports regularly. Reports are sent every
+// 200 ms and serve as the agent's heartbeat; a second without a report, or a
+// broken link, makes the backend server suspect until it reports again. Its
+// running requests are not given up on suspicion alone.
 package backend
 
 import (
@@ -20,8 +21,8 @@
 	"baywall.example/entry/routing"
 )
 
-// silence is how long an agent may be silent before it is suspect.
-const silence = time.Second
+// reportTimeout is how long after its last report an agent becomes suspect.
+const reportTimeout = time.Second
 
 // Backend is one backend server. It is safe for concurrent use.
 type Backend struct {
@@ -33,64 +34,66 @@
 	suspect     bool
 	draining    bool
 	revision    uint64
-	closed      Closed
+	backoff     Closed
 	alive       context.Context
-	kill        context.CancelFunc
+	cancelAlive context.CancelFunc
 }
 
 func newBackend(v vm.VM) *Backend {
 	b := &Backend{Runner: routing.NewRunner(v.ID, v.Zone), vm: v}
-	b.alive, b.kill = context.WithCancel(context.Background())
+	b.alive, b.cancelAlive = context.WithCancel(context.Background())
 	return b
 }
 
-// VM returns the backend server's row of the platform's list.
+// VM returns the backend server's entry in the platform's list.
 func (b *Backend) VM() vm.VM {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.vm
 }
 
-// Usable reports whether the backend server may get new work.
+// Usable reports whether the backend server may get new requests.
 func (b *Backend) Usable() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.vm.State == vm.StateLive && !b.suspect && !b.draining
 }
 
-// Closed tells until when a backend server takes no requests, and why.
+// Closed describes a period in which a backend server gets no requests.
 type Closed struct {
-	// Until is when its agent is asked again, at the latest: another process may have
-	// taken the backend server's place.
+	// Until is when the next request may be sent to it. During a backoff this can be
+	// before Ends, because another process may have replaced the backend server.
 	Until time.Time
-	// Ends is when it takes requests by what its agent said.
+	// Ends is when it accepts requests again according to its agent.
 	Ends   time.Time
-	Reason contract.Reason // it is at the limit that it names, or rests
+	Reason contract.Reason // the limit that it has reached, or a backoff
 }
 
-// longestRest bounds the time for which an agent is not asked whose backend server rests.
-const longestRest = time.Second
+// maxBackoff bounds how long a backend server that asked for a backoff gets no requests, as
+// another process may have replaced it.
+const maxBackoff = time.Second
 
-// Close notes that the backend server takes no more requests for a time.
+// Close records that the backend server accepts no requests for the given time.
 func (b *Backend) Close(reason contract.Reason, left time.Duration, now time.Time) Closed {
 	c := Closed{Until: now.Add(left), Ends: now.Add(left), Reason: reason}
 	if reason == contract.ReasonRest {
-		c.Until = now.Add(min(left, longestRest))
+		c.Until = now.Add(min(left, maxBackoff))
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.closed = c
+	b.backoff = c
 	return c
 }
 
-// Closed returns until when the backend server takes no requests; in the past if it does.
+// Closed returns the latest period in which the backend server gets no requests; it lies in
+// the past if requests are accepted.
 func (b *Backend) Closed() Closed {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.closed
+	return b.backoff
 }
 
-// Incarnation returns that of the linked agent, 0 if there never was a link.
+// Incarnation returns the incarnation of the linked agent, 0 if there never was a link.
 func (b *Backend) Incarnation() vm.Incarnation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -104,7 +107,7 @@
 	return b.alive
 }
 
-// setVM takes over a newer row and reports whether usability may have changed.
+// setVM stores a newer list entry and reports whether usability may have changed.
 func (b *Backend) setVM(v vm.VM) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,7 +116,7 @@
 	return changed
 }
 
-// setSuspect changes the suspicion and reports whether it was different.
+// setSuspect sets or clears the suspicion and reports whether that changed it.
 func (b *Backend) setSuspect(suspect bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -122,25 +125,26 @@
 	}
 	b.suspect = suspect
 	if suspect {
-		b.kill()
+		b.cancelAlive()
 	} else {
-		b.alive, b.kill = context.WithCancel(context.Background())
+		b.alive, b.cancelAlive = context.WithCancel(context.Background())
 	}
 	return true
 }
 
-// linked notes a new link.
+// linked records a new link. For a new incarnation of the agent it clears the draining
+// state and any period without requests.
 func (b *Backend) linked(l *link.Link) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.incarnation != l.Incarnation {
 		b.incarnation = l.Incarnation
 		b.draining = false
-		b.closed = Closed{}
+		b.backoff = Closed{}
 	}
 }
 
-// report takes in a load report and tells whether usability changed.
+// report stores a load report and reports whether usability changed.
 func (b *Backend) report(r *wire.Report) bool {
 	b.Runner.Report(r.GetInFlight(), r.GetQueued())
 	b.mu.Lock()
@@ -151,7 +155,7 @@
 	return changed
 }
 
-// ConfigRevision returns the configuration revision the agent reported.
+// ConfigRevision returns the configuration revision that the agent last reported.
 func (b *Backend) ConfigRevision() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/entry/backend/directory.go
+++ b/entry/backend/directory.go
@@ -16,7 +16,7 @@
 	"baywall.example/entry/routing"
 )
 
-// relinkInterval is the time between two attempts to link suspect or new
+// relinkInterval is the time between two attempts to connect to suspect or new
 // backend servers.
 const relinkInterval = 200 * time.Millisecond
 
@@ -33,20 +33,20 @@
 	usable   atomic.Pointer[map[string]*Choice]
 }
 
-// Choice is the set of backend servers of one service that may get new work.
+// Choice is the set of backend servers of one service that may get new requests.
 // Both slices have the same order.
 type Choice struct {
 	Backends []*Backend
 	Runners  []*routing.Runner
 }
 
-// Open leaves out those that are closed now. If that is all of them, it returns none, and the
-// one that opens first.
+// Open returns the backend servers that accept requests at the given time. If none does, it
+// also returns the period without requests that ends first.
 func (c Choice) Open(now time.Time) (open Choice, next Closed) {
 	for i, b := range c.Backends {
-		if closed := b.Closed(); closed.Until.After(now) {
-			if next.Reason == "" || closed.Ends.Before(next.Ends) {
-				next = closed
+		if backoff := b.Closed(); backoff.Until.After(now) {
+			if next.Reason == "" || backoff.Ends.Before(next.Ends) {
+				next = backoff
 			}
 			continue
 		}
@@ -63,8 +63,8 @@
 	}
 }
 
-// NewDirectory returns an empty directory. The links of the pool it makes are
-// served by the handler. The callbacks run for each link made and each report.
+// NewDirectory returns an empty directory. The handler serves the links of its
+// pool. The callbacks run for each new link and for each report.
 func NewDirectory(local *link.Local, handler link.Handler, recorder *timeline.Recorder, onUp func(*link.Link), onReport func(vm.ID, *wire.Report)) *Directory {
 	d := &Directory{recorder: recorder, onReport: onReport, backends: make(map[vm.ID]*Backend)}
 	d.usable.Store(&map[string]*Choice{})
@@ -78,7 +78,7 @@
 // Pool returns the links to agents.
 func (d *Directory) Pool() *link.Pool { return d.pool }
 
-// SetList takes over the platform's list.
+// SetList applies a new list from the platform.
 func (d *Directory) SetList(list vm.List) {
 	d.mu.Lock()
 	listed := make(map[vm.ID]struct{})
@@ -103,7 +103,7 @@
 	d.pool.Retain(func(id vm.ID) bool { _, ok := listed[id]; return ok })
 }
 
-// rebuild makes the choices of all services anew; the lock is held.
+// rebuild recomputes the choices of all services. The caller holds the lock.
 func (d *Directory) rebuild() {
 	choices := make(map[string]*Choice)
 	for _, b := range d.backends {
@@ -129,7 +129,7 @@
 	d.rebuild()
 }
 
-// Usable returns the backend servers of a service that may get new work.
+// Usable returns the backend servers of a service that may get new requests.
 func (d *Directory) Usable(service string) Choice {
 	if c := (*d.usable.Load())[service]; c != nil {
 		return *c
@@ -137,7 +137,7 @@
 	return Choice{}
 }
 
-// Find returns a backend server on the list.
+// Find returns the backend server with the id, if it is listed.
 func (d *Directory) Find(id vm.ID) (*Backend, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -145,7 +145,7 @@
 	return b, ok
 }
 
-// Link returns the link to a backend server's agent, dialing if needed. A
+// Link returns the link to a backend server's agent and dials it if needed. A
 // failure makes the backend server suspect.
 func (d *Directory) Link(ctx context.Context, b *Backend) (*link.Link, error) {
 	l, err := d.pool.Get(ctx, b.VM())
@@ -181,7 +181,7 @@
 	}
 }
 
-// watch follows the load reports of one link.
+// watch receives the load reports on one link until the link ends.
 func (d *Directory) watch(b *Backend, l *link.Link) {
 	s, err := l.Open(context.Background())
 	if err != nil {
@@ -191,14 +191,14 @@
 	if s.SendCall(&wire.Call{Body: &wire.Call_Watch{Watch: &wire.Watch{}}}) != nil {
 		return
 	}
-	timer := time.AfterFunc(silence, func() { d.suspect(b, "no report") })
+	timer := time.AfterFunc(reportTimeout, func() { d.suspect(b, "no report") })
 	defer timer.Stop()
 	for {
 		reply, err := s.RecvReply()
 		if err != nil {
 			return
 		}
-		timer.Reset(silence)
+		timer.Reset(reportTimeout)
 		r := reply.GetReport()
 		changed := b.report(r)
 		recovered := b.setSuspect(false)
@@ -212,7 +212,7 @@
 	}
 }
 
-// Run keeps links to the backend servers of the services for which wanted
+// Run maintains links to the backend servers of the services for which wanted
 // returns true, until the context ends.
 func (d *Directory) Run(ctx context.Context, wanted func(service string) bool) {
 	ticker := time.NewTicker(relinkInterval)
@@ -237,8 +237,8 @@
 	wg.Wait()
 }
 
-// unlinked returns the wanted backend servers that have no link. The pool is
-// asked without the directory's lock, as its callbacks take that lock.
+// unlinked returns the wanted backend servers that have no link. It calls the pool
+// without holding the directory's lock, as the pool's callbacks take that lock.
 func (d *Directory) unlinked(wanted func(string) bool) []*Backend {
 	var out []*Backend
 	for _, b := range d.all() {
--- a/entry/backend/directory_test.go
+++ b/entry/backend/directory_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// silentAgent accepts links and never reports.
+// silentAgent accepts links and never sends a report.
 type silentAgent struct{}
 
 func (silentAgent) ServeStream(ctx context.Context, _ *link.Link, _ *link.Stream, _ *wire.Call) {
@@ -41,8 +41,8 @@
 	return vm.VM{ID: id, Role: vm.RoleBackend, Link: ln.Addr().String(), Services: []string{"s"}, State: vm.StateLive}
 }
 
-// Links come up, break and are made again while the list changes. The locks of
-// the directory and of its links once waited for each other.
+// Links are made, broken and made again while the list changes. The test
+// guards against a deadlock between the locks of the directory and of its link pool.
 func TestLinksChurnWhileListChanges(t *testing.T) {
 	is := is.New(t)
 	var ups atomic.Int64
@@ -50,7 +50,7 @@
 	recorder := timeline.NewRecorder("e", 64, zerolog.Nop())
 	d := NewDirectory(local("e", vm.RoleEntry), nil, recorder, func(*link.Link) { ups.Add(1) }, func(vm.ID, *wire.Report) {})
 	ctx, cancel := context.WithCancel(context.Background())
-	d.SetList(vm.List{Revision: 1, VMs: agents}) // else all rounds may be over before there is one
+	d.SetList(vm.List{Revision: 1, VMs: agents}) // otherwise all rounds may end before a list is set
 	var wg conc.WaitGroup
 	wg.Go(func() { d.Run(ctx, func(string) bool { return true }) })
 	const rounds = 60
--- a/entry/subset/subset_test.go
+++ b/entry/subset/subset_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// zoneOf is a zone of three large gateways and some small ones.
+// zoneOf returns a zone of three large gateways and the given number of small ones.
 func zoneOf(small int) []Member {
 	var out []Member
 	for i := range 3 {
@@ -20,8 +20,8 @@
 	return out
 }
 
-// fleet decides for all members of a zone, each of which hears the others with the
-// next step.
+// fleet decides for all members of a zone. Each member sees the others' decisions in
+// the next step.
 type fleet struct {
 	members []Member
 	roles   []Role
@@ -55,7 +55,7 @@
 	return n
 }
 
-func TestTheLargestCarryWhatIsUsual(t *testing.T) {
+func TestLargestGatewaysServeTheUsualLoad(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(zoneOf(25))
 	f.run(10*time.Second, 120)
@@ -65,14 +65,14 @@
 	}
 }
 
-func TestASmallZoneCarriesWithAll(t *testing.T) {
+func TestAllGatewaysOfASmallZoneAreActive(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(zoneOf(0)[:2])
 	f.run(time.Second, 0)
 	is.Equal(f.active(), 2)
 }
 
-func TestABurstWidensTheSubsetAndItsEndNarrowsIt(t *testing.T) {
+func TestSubsetGrowsInABurstAndShrinksAfterIt(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(zoneOf(25))
 	f.run(10*time.Second, 120)
@@ -84,9 +84,9 @@
 	is.Equal(f.active(), 3)
 }
 
-// Nobody tells that the large gateways have failed: they are still listed as members
-// that take requests, and stand by as far as anybody hears.
-func TestFailedGatewaysAreReplacedThoughStillListed(t *testing.T) {
+// The failure of the large gateways is not reported: they are still listed as members
+// that accept requests, and appear to be on standby.
+func TestFailedGatewaysAreReplacedWhileStillListed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(zoneOf(25))
 	f.run(10*time.Second, 120)
