--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -1,5 +1,5 @@
-// Package server is the entry VM's process: callers' HTTP, the resource
-// interface, links to agents and peers, membership and configuration spread.
+// Package server runs the entry VM's process: HTTP for callers, the resource API,
+// links to agents and peers, membership, and the distribution of configuration.
 package server
 
 import (
@@ -31,7 +31,7 @@
 	"baywall.example/entry/spread"
 )
 
-// ErrStart means that the process could not start.
+// ErrStart is returned if the process cannot start.
 var ErrStart = eris.New("entry: start")
 
 // Server is one entry VM's process.
@@ -51,7 +51,7 @@
 	limiter   *limits.Limiter
 
 	draining atomic.Bool
-	traffic  atomic.Int64 // bytes of all links
+	traffic  atomic.Int64 // bytes on all links
 	http     *http.Server
 	listener net.Listener
 	ctx      context.Context
@@ -61,10 +61,10 @@
 	suspects *quarantine.Table
 
 	revisionsMu sync.Mutex
-	revisions   map[vm.ID]uint64 // last told to the membership, by agent
+	revisions   map[vm.ID]uint64 // last passed on through membership, by agent
 }
 
-// New returns a process with validated settings; Start runs it.
+// New returns a process for validated settings. Start runs it.
 func New(s Settings, log zerolog.Logger, now time.Time) *Server {
 	id := vm.ID(s.VM)
 	e := &Server{
@@ -83,14 +83,14 @@
 		BindIP: host, Clock: e.recorder.Clock(), Log: log, Traffic: &e.traffic,
 		Revisions: func() (uint64, uint64) { return e.config.Revision(), e.vms.List().Revision },
 	}
-	e.directory = backend.NewDirectory(e.local, e, e.recorder, e.agentUp, e.agentReport)
+	e.directory = backend.NewDirectory(e.local, e, e.recorder, e.onAgentLink, e.onAgentReport)
 	e.peers = link.NewPool(e.local, e, nil, nil)
 	return e
 }
 
-// Start opens the listeners and begins to serve.
+// Start opens the listeners and starts to serve.
 func (e *Server) Start() error {
-	prober, err := membership.NewProber(e.settings.Probe.Listen, e.self, e.heard, e.recorder, e.log)
+	prober, err := membership.NewProber(e.settings.Probe.Listen, e.self, e.onProbe, e.recorder, e.log)
 	if err != nil {
 		return eris.Wrapf(ErrStart, "probe.listen: %v", err)
 	}
@@ -111,7 +111,7 @@
 	e.workers.Go(func() { e.spreader.Run(e.ctx) })
 	e.workers.Go(func() { e.fleet.Run(e.ctx) })
 	e.workers.Go(func() { e.limiter.Run(e.ctx) })
-	e.workers.Go(func() { e.askSuspects(e.ctx) })
+	e.workers.Go(func() { e.pullSuspects(e.ctx) })
 	e.workers.Go(func() { e.expireSuspects(e.ctx) })
 	e.workers.Go(func() { e.directory.Run(e.ctx, e.api.InSubset) })
 	e.workers.Go(func() { _ = e.http.Serve(httpListener) })
@@ -142,8 +142,8 @@
 // readHeaderTimeout bounds how long a caller may take to send its header.
 const readHeaderTimeout = 10 * time.Second
 
-// Stop says that this VM is leaving, goes on serving for the linger time,
-// waits for the requests in flight and ends.
+// Stop announces that this VM is draining, continues to serve for the linger time,
+// waits for the requests in flight and then ends the process.
 func (e *Server) Stop(ctx context.Context) error {
 	e.draining.Store(true)
 	e.recorder.Record(timeline.Event{Kind: timeline.KindDrain})
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// ready reports whether callers may come: the process is up to date, and has
-// run for a lease time, so that it can grant shares of team limits.
+// ready reports whether the process may serve callers: it is up to date, and has run
+// without a pause for a lease time, so that it can grant shares of team limits.
 func (e *Server) ready() bool {
 	awake := e.fleet.Snapshot().Awake
 	return e.spreader.Ready() && clock.Since(awake) >= limits.LeaseTime
@@ -187,21 +187,21 @@
 	}
 }
 
-func (e *Server) heard(from vm.ID, p *wire.Probe) {
+func (e *Server) onProbe(from vm.ID, p *wire.Probe) {
 	e.suspects.Hear(from, p.GetSuspects(), clock.Now())
-	e.spreader.Heard(e.ctx, from, p)
+	e.spreader.OnProbe(e.ctx, from, p)
 }
 
-func (e *Server) agentUp(l *link.Link) { e.spreader.Announce(l) }
+func (e *Server) onAgentLink(l *link.Link) { e.spreader.Announce(l) }
 
-// agentReport passes an agent's revision on to the other entry VMs and brings
-// an agent that lags behind up to date.
-func (e *Server) agentReport(id vm.ID, r *wire.Report) {
+// onAgentReport passes a changed revision of an agent on to the other entry VMs and
+// announces the current revisions to an agent that lags behind.
+func (e *Server) onAgentReport(id vm.ID, r *wire.Report) {
 	e.revisionsMu.Lock()
-	told := e.revisions[id]
+	previous := e.revisions[id]
 	e.revisions[id] = r.GetConfigRevision()
 	e.revisionsMu.Unlock()
-	if told != r.GetConfigRevision() {
+	if previous != r.GetConfigRevision() {
 		e.prober.Learn(&wire.News{Vm: string(id), Incarnation: r.GetIncarnation(), ConfigRevision: r.GetConfigRevision()})
 	}
 	behind := r.GetConfigRevision() < e.config.Revision() || r.GetVmsRevision() < e.vms.List().Revision
@@ -221,7 +221,7 @@
 		reply := configuration.AnswerPull(body.Pull, e.config, e.vms)
 		_ = s.SendReply(&wire.Reply{Body: &wire.Reply_Pull{Pull: reply}})
 	case *wire.Call_Shares:
-		reply := grantsToWire(e.limiter.Grant(asksFromWire(from.Remote, body.Shares)))
+		reply := grantsToWire(e.limiter.Grant(shareRequestsFromWire(from.Remote, body.Shares)))
 		_ = s.SendReply(&wire.Reply{Body: &wire.Reply_Shares{Shares: reply}})
 	case *wire.Call_Suspects:
 		known := &wire.Suspects{Suspects: e.suspects.All(clock.Now())}
--- a/entry/server/settings.go
+++ b/entry/server/settings.go
@@ -14,25 +14,24 @@
 	VM string `yaml:"vm"`
 	// Zone is the availability zone of this VM. Required.
 	Zone string `yaml:"zone"`
-	// HTTP is where callers and operators connect.
+	// HTTP configures the listener for callers and operators.
 	HTTP HTTPSettings `yaml:"http"`
-	// Link is where other VMs of the fleet connect.
+	// Link configures the listener for links from other VMs of the fleet.
 	Link LinkSettings `yaml:"link"`
-	// Probe is where other entry VMs send their probes.
+	// Probe configures the socket for probes from other entry VMs.
 	Probe ProbeSettings `yaml:"probe"`
-	// Platform is where configuration and the list of VMs are published.
+	// Platform configures the source of configuration and of the list of VMs.
 	Platform PlatformSettings `yaml:"platform"`
-	// Seeds are link addresses (IP:port) of entry VMs that a new process asks
-	// before the platform has answered. Default: none.
+	// Seeds are link addresses (IP:port) of entry VMs that a new process pulls
+	// from before the platform has answered. Default: none.
 	Seeds []string `yaml:"seeds"`
 	// Callers are the settings that concern callers.
 	Callers CallerSettings `yaml:"callers"`
-	// Drain tells how the process leaves.
+	// Drain configures how the process shuts down.
 	Drain DrainSettings `yaml:"drain"`
-	// MemoryTarget is what the process's heap and stacks should stay under, in
-	// MiB, as long as what it has to hold allows. It is soft, but a process that
-	// needs more spends much processor time on collection: leave a quarter of
-	// room. From 16 to 65536, default 28.
+	// MemoryTarget is the soft limit of the process's heap and stacks, in MiB. A
+	// process that needs more exceeds it, but spends much processor time on
+	// garbage collection: leave a quarter unused. From 16 to 65536, default 28.
 	MemoryTarget int `yaml:"memory_target"`
 	// LogLevel is one of debug, info, warn, error. Default info.
 	LogLevel string `yaml:"log_level"`
@@ -47,7 +46,7 @@
 // LinkSettings are the settings of the link listener.
 type LinkSettings struct {
 	// Listen is the IP:port that the process listens on. Required. Its IP is
-	// also the source of outgoing links.
+	// also the source address of outgoing links.
 	Listen string `yaml:"listen"`
 }
 
@@ -57,7 +56,7 @@
 	Listen string `yaml:"listen"`
 }
 
-// PlatformSettings tell how to read the platform.
+// PlatformSettings are the settings for reading from the platform.
 type PlatformSettings struct {
 	// URL is the base URL, http only. Required.
 	URL string `yaml:"url"`
@@ -68,25 +67,25 @@
 
 // CallerSettings are the settings that concern callers.
 type CallerSettings struct {
-	// AddressTTL is how long callers may keep an answer of /v1/entries. From
+	// AddressTTL is how long callers may cache an answer of /v1/entries. From
 	// 100ms to 1h, default 5s.
 	AddressTTL time.Duration `yaml:"address_ttl"`
-	// TicketTTL is how long a ticket can be presented. From 1s to 1h, default
-	// 30s.
+	// TicketTTL is how long after its issue a ticket is accepted. From 1s to 1h,
+	// default 30s.
 	TicketTTL time.Duration `yaml:"ticket_ttl"`
 	// MaxBody bounds a request's body, in bytes. From 1024 to 4194304, default
 	// 4194304.
 	MaxBody int `yaml:"max_body"`
 }
 
-// DrainSettings tell how a process leaves.
+// DrainSettings are the settings for shutting a process down.
 type DrainSettings struct {
-	// Linger is how long new requests are still served after the process said
-	// that it is leaving. From 0 to 10m, default 6s: a little more than
-	// callers.address_ttl.
+	// Linger is how long new requests are still served after the process has
+	// announced that it is draining. From 0 to 10m, default 6s: a little more
+	// than callers.address_ttl.
 	Linger *time.Duration `yaml:"linger"`
-	// Timeout is how long requests in flight may take before the process stops
-	// all the same. From 1s to 24h, default 15m.
+	// Timeout bounds the draining, Linger included: requests still in flight
+	// after it are aborted. From 1s to 24h, default 15m.
 	Timeout time.Duration `yaml:"timeout"`
 }
 
@@ -115,7 +114,7 @@
 	s.LogLevel = settings.Or(s.LogLevel, "info")
 }
 
-// Validate fills in the defaults and returns every wrong value.
+// Validate fills in the defaults and returns a problem for every invalid value.
 func (s *Settings) Validate() []settings.Problem {
 	s.Provision()
 	var c settings.Checks
--- a/entry/server/shares.go
+++ b/entry/server/shares.go
@@ -15,8 +15,7 @@
 	"baywall.example/entry/limits"
 )
 
-// shareNetwork connects the limiter to the fleet. It implements
-// limits.Network.
+// shareNetwork connects the limiter to the fleet. It implements limits.Network.
 type shareNetwork struct {
 	server *Server
 }
@@ -46,7 +45,7 @@
 }
 
 // grantorsAmong returns the first two of the VMs in rendezvous order for the
-// team; this VM where there are not as many.
+// team. This VM fills the places if there are fewer than two.
 func (n *shareNetwork) grantorsAmong(usable []vm.VM, team string) [2]vm.ID {
 	key := rendezvous.Hash("team/" + team)
 	best := [2]vm.ID{n.server.local.VM, n.server.local.VM}
@@ -74,9 +73,9 @@
 }
 
 // Ask implements limits.Network.
-func (n *shareNetwork) Ask(ctx context.Context, grantor vm.ID, asks []limits.TeamAsk) ([]limits.TeamGrant, error) {
+func (n *shareNetwork) Ask(ctx context.Context, grantor vm.ID, requests []limits.TeamAsk) ([]limits.TeamGrant, error) {
 	if grantor == n.server.local.VM {
-		return n.server.limiter.Grant(asks), nil
+		return n.server.limiter.Grant(requests), nil
 	}
 	v, ok := n.server.vms.List().Find(grantor)
 	if !ok {
@@ -86,28 +85,28 @@
 	if err != nil {
 		return nil, err
 	}
-	reply, err := l.Call(ctx, &wire.Call{Body: &wire.Call_Shares{Shares: asksToWire(asks)}})
+	reply, err := l.Call(ctx, &wire.Call{Body: &wire.Call_Shares{Shares: shareRequestsToWire(requests)}})
 	if err != nil {
 		return nil, err
 	}
 	return grantsFromWire(reply.GetShares()), nil
 }
 
-func asksToWire(asks []limits.TeamAsk) *wire.ShareRequests {
+func shareRequestsToWire(requests []limits.TeamAsk) *wire.ShareRequests {
 	out := &wire.ShareRequests{}
-	for _, a := range asks {
+	for _, r := range requests {
 		out.Requests = append(out.Requests, &wire.ShareRequest{
-			Team: a.Team, Demand: int64(a.Demand), HeldSequence: a.HeldSequence,
-			HeldShare: int64(a.Held), HeldMs: roundUp(a.HeldFor),
+			Team: r.Team, Demand: int64(r.Demand), HeldSequence: r.HeldSequence,
+			HeldShare: int64(r.Held), HeldMs: roundUp(r.HeldFor),
 		})
 	}
 	return out
 }
 
-// roundUp returns whole milliseconds, at least as long as d.
+// roundUp returns d in milliseconds, rounded up.
 func roundUp(d time.Duration) int64 { return int64((d + time.Millisecond - 1) / time.Millisecond) }
 
-func asksFromWire(from vm.ID, w *wire.ShareRequests) []limits.TeamAsk {
+func shareRequestsFromWire(from vm.ID, w *wire.ShareRequests) []limits.TeamAsk {
 	out := make([]limits.TeamAsk, 0, len(w.GetRequests()))
 	for _, r := range w.GetRequests() {
 		out = append(out, limits.TeamAsk{Team: r.GetTeam(), Ask: limits.Ask{
--- a/entry/server/suspects.go
+++ b/entry/server/suspects.go
@@ -13,51 +13,51 @@
 )
 
 const (
-	// suspectsAsked is how many others a process that has started asks for the suspects
-	// that they know; askPause is how often it looks whether it knows any.
-	suspectsAsked = 3
-	askPause      = 200 * time.Millisecond
-	// askLimit bounds an exchange with one of them.
-	askLimit = 2 * time.Second
-	// expirePause is how often suspects are forgotten that no longer count.
-	expirePause = time.Second
+	// suspectPeers is how many other entry VMs a newly started process pulls suspects
+	// from; peerCheckInterval is how often it checks whether it knows any other VM.
+	suspectPeers      = 3
+	peerCheckInterval = 200 * time.Millisecond
+	// suspectPullTimeout bounds the exchange with one of them.
+	suspectPullTimeout = 2 * time.Second
+	// expireInterval is how often expired suspects are removed.
+	expireInterval = time.Second
 )
 
-// askSuspects asks others for all suspects, as soon as this process knows any. Probes tell
-// them in turn only.
-func (e *Server) askSuspects(ctx context.Context) {
-	for wait.Sleep(ctx, askPause) {
+// pullSuspects pulls all suspects from some other entry VMs as soon as this process knows
+// any: probes carry the suspects only a few at a time.
+func (e *Server) pullSuspects(ctx context.Context) {
+	for wait.Sleep(ctx, peerCheckInterval) {
 		others := slices.Clone(e.fleet.Snapshot().Usable)
 		others = slices.DeleteFunc(others, func(v vm.VM) bool { return v.ID == e.local.VM })
 		if len(others) == 0 {
 			continue
 		}
 		rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-		for _, v := range others[:min(suspectsAsked, len(others))] {
-			e.askSuspectsOf(ctx, v)
+		for _, v := range others[:min(suspectPeers, len(others))] {
+			e.pullSuspectsFrom(ctx, v)
 		}
 		return
 	}
 }
 
-func (e *Server) askSuspectsOf(ctx context.Context, v vm.VM) {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+func (e *Server) pullSuspectsFrom(ctx context.Context, v vm.VM) {
+	ctx, cancel := context.WithTimeout(ctx, suspectPullTimeout)
 	defer cancel()
 	l, err := e.peers.Get(ctx, v)
 	if err != nil {
-		e.log.Info().Err(err).Str("vm", string(v.ID)).Msg("suspects not asked")
+		e.log.Info().Err(err).Str("vm", string(v.ID)).Msg("cannot connect to peer to pull suspects")
 		return
 	}
 	reply, err := l.Call(ctx, &wire.Call{Body: &wire.Call_Suspects{Suspects: &wire.SuspectsPull{}}})
 	if err != nil {
-		e.log.Info().Err(err).Str("vm", string(v.ID)).Msg("suspects not answered")
+		e.log.Info().Err(err).Str("vm", string(v.ID)).Msg("pull of suspects failed")
 		return
 	}
 	e.suspects.Hear(v.ID, reply.GetSuspects().GetSuspects(), clock.Now())
 }
 
 func (e *Server) expireSuspects(ctx context.Context) {
-	for wait.Sleep(ctx, expirePause) {
+	for wait.Sleep(ctx, expireInterval) {
 		e.suspects.Expire(clock.Now())
 	}
 }
--- a/entry/spread/spread.go
+++ b/entry/spread/spread.go
@@ -1,11 +1,11 @@
-// Package spread brings configuration and the list of VMs to one entry VM and
-// passes them on.
+// Package spread keeps the configuration and the list of VMs of one entry VM up
+// to date and distributes them.
 //
-// Reads of the platform are scarce, so only the first two usable entry VMs of
-// each availability zone, in rendezvous order, hold a watch there. All others
-// hear of newer revisions through the membership probes and pull them from the
-// VM they heard it from. A change is told to a few peers at once and to every
-// linked agent. A new process first asks its seeds and the platform.
+// The platform allows few reads, so only the first two usable entry VMs of each
+// availability zone, in rendezvous order, watch it. All others learn of newer
+// revisions from the membership probes and pull them from the sender of the
+// probe. A change is announced to a few peers and to every linked agent
+// immediately. A new process first pulls from its seeds and the platform.
 package spread
 
 import (
@@ -34,27 +34,28 @@
 const (
 	// watchersPerZone is how many entry VMs of a zone watch the platform.
 	watchersPerZone = 2
-	// watcherKey is what the rendezvous order of watchers is drawn for.
+	// watcherKey is the key of the watchers' rendezvous order.
 	watcherKey = "platform-watch"
 	// pullTimeout bounds one exchange with a peer.
 	pullTimeout = 3 * time.Second
-	// firstRetry and lastRetry bound the pause after a failed platform read.
-	firstRetry = 100 * time.Millisecond
-	lastRetry  = 5 * time.Second
-	// recheck is how often a VM that is no watcher looks whether it became one.
-	recheck = 500 * time.Millisecond
-	// firstPeers is how many peers a new process asks.
-	firstPeers = 3
-	// askTimeout bounds how long a new process waits for them.
-	askTimeout = 2 * time.Second
+	// initialBackoff and maxBackoff bound the delay after a failed platform read.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 5 * time.Second
+	// watcherCheckInterval is how often a VM that is not a watcher checks whether it
+	// has become one.
+	watcherCheckInterval = 500 * time.Millisecond
+	// bootstrapPeers is how many peers a new process pulls from.
+	bootstrapPeers = 3
+	// bootstrapTimeout bounds how long a new process waits for them.
+	bootstrapTimeout = 2 * time.Second
 	// peerIdle is how long an unused link to a peer is kept.
 	peerIdle = 4 * time.Second
-	// repairInterval is the least time between two full exchanges with one
-	// peer that has the same revision but other content.
+	// repairInterval is the least time between two pulls from a peer that has the
+	// same revision with different content.
 	repairInterval = 2 * time.Second
 )
 
-// Spreader runs the exchange. It is safe for concurrent use.
+// Spreader distributes configuration and the list of VMs. It is safe for concurrent use.
 type Spreader struct {
 	Self     vm.ID
 	Zone     zone.ID
@@ -68,17 +69,17 @@
 	Seeds    []string
 	Recorder *timeline.Recorder
 	Log      zerolog.Logger
-	// OnList runs after a newer list was applied.
+	// OnList is called after a newer list was applied.
 	OnList func(vm.List)
 
-	ready    atomic.Bool
-	mu       sync.Mutex
-	pulling  map[vm.ID]bool
-	repaired map[vm.ID]time.Time
-	workers  conc.WaitGroup
+	ready      atomic.Bool
+	mu         sync.Mutex
+	pulling    map[vm.ID]bool
+	lastRepair map[vm.ID]time.Time
+	workers    conc.WaitGroup
 }
 
-// Run spreads until the context ends.
+// Run distributes updates until the context ends.
 func (s *Spreader) Run(ctx context.Context) {
 	s.workers.Go(func() { s.bootstrap(ctx) })
 	s.workers.Go(func() { s.watchConfig(ctx) })
@@ -89,15 +90,16 @@
 }
 
 // Ready reports whether this process may serve: it has a configuration and a
-// list, and has asked its peers for newer ones.
+// list, and has tried to pull newer ones from its peers.
 func (s *Spreader) Ready() bool { return s.ready.Load() }
 
 // bootstrap brings a new process up to date before it serves. The platform may
-// be stale, so it asks every seed, and then, once it has a list, some peers from
-// it. Peers that do not answer in time are not waited for: in a cut-off part of
-// the fleet, serving with what the platform says is better than not at all.
+// return stale data, so the process pulls from every seed and, once it has a
+// list, from some of the listed peers. It does not wait for peers that fail to
+// answer in time: in a partitioned part of the fleet, serving with the platform's
+// data is better than not serving.
 func (s *Spreader) bootstrap(ctx context.Context) {
-	s.askAll(ctx, s.Seeds)
+	s.pullFromAll(ctx, s.Seeds)
 	for s.Config.Revision() == 0 || s.VMs.List().Revision == 0 {
 		config, vms := s.Config.Changed(), s.VMs.Changed()
 		if s.Config.Revision() > 0 && s.VMs.List().Revision > 0 {
@@ -110,25 +112,25 @@
 		case <-vms:
 		}
 	}
-	s.askAll(ctx, s.firstPeers())
+	s.pullFromAll(ctx, s.bootstrapPeers())
 	s.ready.Store(true)
 }
 
-// firstPeers returns the link addresses of some other entry VMs, drawn by
-// rendezvous so that starting VMs do not all ask the same ones.
-func (s *Spreader) firstPeers() []string {
+// bootstrapPeers returns the link addresses of some other entry VMs. The rendezvous
+// order differs by VM, so that starting VMs do not all pull from the same ones.
+func (s *Spreader) bootstrapPeers() []string {
 	var out []string
 	order := rendezvous.Order(s.VMs.List().WithRole(vm.RoleEntry), string(s.Self), func(v vm.VM) string { return string(v.ID) })
 	for _, v := range order {
-		if v.ID != s.Self && len(out) < firstPeers {
+		if v.ID != s.Self && len(out) < bootstrapPeers {
 			out = append(out, v.Link)
 		}
 	}
 	return out
 }
 
-func (s *Spreader) askAll(ctx context.Context, addresses []string) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (s *Spreader) pullFromAll(ctx context.Context, addresses []string) {
+	ctx, cancel := context.WithTimeout(ctx, bootstrapTimeout)
 	defer cancel()
 	var wg conc.WaitGroup
 	for _, address := range addresses {
@@ -144,8 +146,8 @@
 	wg.Wait()
 }
 
-// isWatcher reports whether this VM is among the first usable ones of its
-// availability zone. As long as there is no list, everybody is.
+// isWatcher reports whether this VM is among the first usable entry VMs of its
+// availability zone, in rendezvous order. Without a list, every VM is a watcher.
 func (s *Spreader) isWatcher() bool {
 	list := s.VMs.List()
 	if list.Revision == 0 {
@@ -166,31 +168,31 @@
 	return false
 }
 
-// watchLoop calls read while this VM is a watcher, pausing after failures.
-func (s *Spreader) watchLoop(ctx context.Context, what string, read func(context.Context) error) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = firstRetry, lastRetry
+// watchLoop calls read while this VM is a watcher, with backoff after failures.
+func (s *Spreader) watchLoop(ctx context.Context, subject string, read func(context.Context) error) {
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.InitialInterval, retryDelay.MaxInterval = initialBackoff, maxBackoff
 	healthy := true
 	for ctx.Err() == nil {
 		if !s.isWatcher() {
-			wait(ctx, recheck)
+			wait(ctx, watcherCheckInterval)
 			continue
 		}
 		err := read(ctx)
 		if err == nil || eris.Is(err, platform.ErrUnchanged) {
-			pause.Reset()
-			s.noteHealth(&healthy, true, what, "")
+			retryDelay.Reset()
+			s.recordHealth(&healthy, true, subject, "")
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		s.noteHealth(&healthy, false, what, err.Error())
-		wait(ctx, pause.NextBackOff())
+		s.recordHealth(&healthy, false, subject, err.Error())
+		wait(ctx, retryDelay.NextBackOff())
 	}
 }
 
-func (s *Spreader) noteHealth(was *bool, now bool, what, reason string) {
+func (s *Spreader) recordHealth(was *bool, now bool, subject, reason string) {
 	if *was == now {
 		return
 	}
@@ -199,7 +201,7 @@
 	if now {
 		choice = "available"
 	}
-	s.Recorder.Record(timeline.Event{Kind: timeline.KindPlatform, Subject: what, Choice: choice, Reason: reason})
+	s.Recorder.Record(timeline.Event{Kind: timeline.KindPlatform, Subject: subject, Choice: choice, Reason: reason})
 }
 
 func wait(ctx context.Context, d time.Duration) {
@@ -246,7 +248,7 @@
 	s.OnList(list)
 }
 
-// trimPeers closes links to peers that are not used any more.
+// trimPeers closes unused links to peers.
 func (s *Spreader) trimPeers(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait(ctx, peerIdle/4)
@@ -254,7 +256,7 @@
 	}
 }
 
-// announceChanges tells peers and agents of every change.
+// announceChanges announces every change to peers and agents.
 func (s *Spreader) announceChanges(ctx context.Context) {
 	for {
 		config, vms := s.Config.Changed(), s.VMs.Changed()
@@ -271,7 +273,7 @@
 	}
 }
 
-// Announce tells an agent which revisions this VM holds.
+// Announce sends an agent the revisions that this VM has.
 func (s *Spreader) Announce(l *link.Link) {
 	stream, err := l.Open(context.Background())
 	if err != nil {
@@ -282,28 +284,28 @@
 	_ = stream.SendCall(&wire.Call{Body: &wire.Call_Announce{Announce: n}})
 }
 
-// Heard reacts to a probe: it pulls from the sender what is newer there.
-func (s *Spreader) Heard(ctx context.Context, from vm.ID, p *wire.Probe) {
-	if !s.worthPulling(from, p) {
+// OnProbe handles a probe: it pulls from the sender if that has newer or different data.
+func (s *Spreader) OnProbe(ctx context.Context, from vm.ID, p *wire.Probe) {
+	if !s.beginPull(from, p) {
 		return
 	}
 	s.workers.Go(func() {
-		defer s.donePulling(from)
+		defer s.endPull(from)
 		v, ok := s.VMs.List().Find(from)
 		if !ok {
 			return
 		}
 		l, err := s.Peers.Get(ctx, v)
 		if err != nil {
-			s.Log.Debug().Str("vm", string(from)).Err(err).Msg("peer not reached")
+			s.Log.Debug().Str("vm", string(from)).Err(err).Msg("cannot connect to peer")
 			return
 		}
 		s.pullFrom(ctx, l)
 	})
 }
 
-// worthPulling decides whether to pull and, if so, marks the pull as running.
-func (s *Spreader) worthPulling(from vm.ID, p *wire.Probe) bool {
+// beginPull decides whether to pull and, if so, marks the pull as running.
+func (s *Spreader) beginPull(from vm.ID, p *wire.Probe) bool {
 	revision := s.Config.Revision()
 	newer := p.GetConfigRevision() > revision || p.GetVmsRevision() > s.VMs.List().Revision
 	digests := s.Config.Digest()
@@ -315,22 +317,22 @@
 	defer s.mu.Unlock()
 	if s.pulling == nil {
 		s.pulling = make(map[vm.ID]bool)
-		s.repaired = make(map[vm.ID]time.Time)
+		s.lastRepair = make(map[vm.ID]time.Time)
 	}
 	if s.pulling[from] {
 		return false
 	}
 	if !newer {
-		if clock.Since(s.repaired[from]) < repairInterval {
+		if clock.Since(s.lastRepair[from]) < repairInterval {
 			return false
 		}
-		s.repaired[from] = clock.Now()
+		s.lastRepair[from] = clock.Now()
 	}
 	s.pulling[from] = true
 	return true
 }
 
-func (s *Spreader) donePulling(from vm.ID) {
+func (s *Spreader) endPull(from vm.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.pulling, from)
