--- a/entry/api/api.go
+++ b/entry/api/api.go
@@ -1,5 +1,5 @@
-// Package api is the HTTP interface of an entry VM: requests of callers, the
-// address answer, the resource interface with its watches, the time line and
+// Package api implements the HTTP interface of an entry VM: callers' requests, the
+// addresses of entry VMs, the resource API with its watches, the timeline and
 // metrics.
 package api
 
@@ -25,7 +25,7 @@
 	"baywall.example/entry/membership"
 )
 
-// Environment is what the API needs of its process.
+// Environment holds the API's dependencies.
 type Environment struct {
 	Self       vm.ID
 	Zone       zone.ID
@@ -95,8 +95,8 @@
 	a.problem(w, http.StatusNotFound, "", &contract.Refusal{Outcome: contract.NotRun, Reason: contract.ReasonBadRequest}, "no such path: "+r.URL.Path)
 }
 
-// serveReady answers 200 once the process can serve, 503 before and while it
-// is leaving.
+// serveReady answers 200 once the process can serve, and 503 before that and while
+// it is draining.
 func (a *API) serveReady(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	answer := ReadyAnswer{VM: a.Self, ConfigRevision: a.Config.Revision(), VMsRevision: a.VMs.List().Revision}
 	status := http.StatusOK
@@ -106,7 +106,7 @@
 	writeJSON(w, status, answer)
 }
 
-// ReadyAnswer tells which revisions a process has.
+// ReadyAnswer is the body of /v1/ready: the revisions that a process has.
 type ReadyAnswer struct {
 	VM             vm.ID  `json:"vm"`
 	ConfigRevision uint64 `json:"config_revision"`
--- a/entry/api/entries.go
+++ b/entry/api/entries.go
@@ -19,11 +19,12 @@
 	"baywall.example/core/zone"
 )
 
-// maxTickets bounds the tickets in one answer.
+// maxTickets bounds the number of tickets in one answer.
 const maxTickets = 16
 
-// EntriesAnswer tells a caller which entry VMs to use for a service, best
-// first, and for how long. Tickets are for non-idempotent requests, one each.
+// EntriesAnswer lists the entry VMs that a caller should use for a service, the
+// preferred ones first, and how long the list is valid. Each ticket is for one
+// non-idempotent request.
 type EntriesAnswer struct {
 	Service string   `json:"service"`
 	TTLMS   int64    `json:"ttl_ms"`
@@ -38,7 +39,7 @@
 	Address string  `json:"address"`
 }
 
-// serveEntries answers which entry VMs a caller should use.
+// serveEntries answers with the entry VMs that a caller should use.
 func (a *API) serveEntries(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	if !a.Ready() {
 		a.problem(w, http.StatusServiceUnavailable, "", starting(), startingDetail)
@@ -64,7 +65,7 @@
 	}
 	answer := EntriesAnswer{Service: service, TTLMS: a.AddressTTL.Milliseconds(), Tickets: a.tickets(r.Context(), service, count)}
 	subset := slices.Clone(a.subset(service))
-	// Callers keep the order; without a shuffle all of a zone would use one VM.
+	// Callers keep the order; without a shuffle all callers of a zone would use the same VM.
 	mathrand.Shuffle(len(subset), func(i, j int) { subset[i], subset[j] = subset[j], subset[i] })
 	slices.SortStableFunc(subset, func(x, y vm.VM) int { return zone.Rank(near, x.Zone) - zone.Rank(near, y.Zone) })
 	for _, v := range subset {
@@ -87,9 +88,9 @@
 	return out
 }
 
-// subset returns the entry VMs that callers of a service are told of: the
-// first usable ones in rendezvous order, from at least two availability zones
-// if there are as many. The result is shared and must not be changed.
+// subset returns the entry VMs that are listed to callers of a service: the first
+// usable ones in rendezvous order, from at least two availability zones where
+// possible. The result is shared and must not be modified.
 func (a *API) subset(service string) []vm.VM {
 	size := 0
 	if s := a.Config.View().Services[service]; s != nil {
@@ -106,14 +107,14 @@
 	})
 }
 
-// subsetKey is what a subset depends on, besides the usable entry VMs.
+// subsetKey holds what a subset depends on besides the usable entry VMs.
 type subsetKey struct {
 	service  string
 	size     int
 	draining bool
 }
 
-// subsetCache keeps subsets until the usable entry VMs change, as they are
+// subsetCache caches subsets until the usable entry VMs change, as subsets are
 // looked up for every backend server several times a second.
 type subsetCache struct {
 	mu         sync.Mutex
@@ -136,8 +137,8 @@
 	return s
 }
 
-// Subset picks size VMs for a service in rendezvous order. If all of them are
-// in one availability zone, the last gives way to the first of another.
+// Subset picks size VMs for a service in rendezvous order. If all of them are in
+// one availability zone, the last is replaced by the first VM of another zone.
 func Subset(usable []vm.VM, service string, size int) []vm.VM {
 	order := rendezvous.Order(usable, service, func(v vm.VM) string { return string(v.ID) })
 	size = min(size, len(order))
@@ -161,8 +162,7 @@
 	return out
 }
 
-// InSubset reports whether this VM is one that callers of the service are told
-// of.
+// InSubset reports whether this VM is listed to callers of the service.
 func (a *API) InSubset(service string) bool {
 	for _, v := range a.subset(service) {
 		if v.ID == a.Self {
--- a/entry/api/requests.go
+++ b/entry/api/requests.go
@@ -24,7 +24,7 @@
 	"baywall.example/entry/dispatch"
 )
 
-// Header fields of the callers' interface.
+// Header fields of the interface for callers.
 const (
 	HeaderTeam           = "Baywall-Team"
 	HeaderTimeout        = "Baywall-Timeout-Ms"
@@ -38,42 +38,42 @@
 	HeaderTicket         = "Baywall-Ticket"
 )
 
-// startRetryAfter is when callers of a process that is not ready may come back.
+// startRetryAfter is the retry-after time in refusals of a process that is not ready.
 const startRetryAfter = time.Second
 
-// prefixLength is how much of a body, in bytes, is its prompt prefix.
+// prefixLength is how many bytes of a body count as its prompt prefix.
 const prefixLength = 512
 
-// serveRequest carries a caller's request to a backend server of the service.
+// serveRequest forwards a caller's request to a backend server of the service.
 func (a *API) serveRequest(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	a.metrics.requests.Add(1)
 	id := contract.RequestID(rand.Text())
 	w.Header().Set(HeaderRequestID, string(id))
 	c, refusal, detail := a.contract(id, r, p.ByName("service"))
 	if refusal != nil {
-		a.refuse(r.Context(), w, c, undecided(r, refusal), detail)
+		a.refuse(r.Context(), w, c, unknownIfTicketed(r, refusal), detail)
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, a.MaxBody))
 	if err != nil {
-		a.badBody(w, r, id, err)
+		a.refuseBody(w, r, id, err)
 		return
 	}
 	release, limited := a.Limiter.Admit(r.Context(), c.Team)
 	if limited != nil {
-		a.refuse(r.Context(), w, c, undecided(r, limited), "team "+c.Team+" has its share of requests running")
+		a.refuse(r.Context(), w, c, unknownIfTicketed(r, limited), "team "+c.Team+" has its share of requests running")
 		return
 	}
 	defer release()
 	request := dispatch.Request{
-		Method: r.Method, Path: backendPath(r, p.ByName("path")), Headers: passedHeaders(r.Header),
+		Method: r.Method, Path: backendPath(r, p.ByName("path")), Headers: forwardedHeaders(r.Header),
 		Body: body, Key: rendezvous.Hash(string(body[:min(prefixLength, len(body))])),
 	}
 	sink := &responseSink{w: w}
 	a.finish(r.Context(), w, c, a.Dispatcher.Serve(r.Context(), c, request, sink))
 }
 
-// finish ends a request as the dispatcher said.
+// finish ends a request according to the dispatcher's error.
 func (a *API) finish(ctx context.Context, w http.ResponseWriter, c contract.Contract, err error) {
 	var refusal *contract.Refusal
 	switch {
@@ -83,11 +83,12 @@
 		a.refuse(ctx, w, c, refusal, "")
 	default:
 		a.metrics.aborted.Add(1)
-		panic(http.ErrAbortHandler) // the caller must see that the answer is not whole
+		panic(http.ErrAbortHandler) // the caller must see that the answer is incomplete
 	}
 }
 
-// contract reads from a request what is promised for it.
+// contract reads the contract of a request: its service, team, priority and deadline, and
+// whether it may run more than once.
 func (a *API) contract(id contract.RequestID, r *http.Request, service string) (contract.Contract, *contract.Refusal, string) {
 	c := contract.Contract{Request: id, Service: service, Team: r.Header.Get(HeaderTeam)}
 	if !a.Ready() {
@@ -115,7 +116,7 @@
 	return a.withTicket(c, r)
 }
 
-// startingDetail explains the refusals of a process that is not ready.
+// startingDetail is the detail in refusals of a process that is not ready.
 const startingDetail = "this entry VM has just started"
 
 func starting() *contract.Refusal {
@@ -126,10 +127,10 @@
 	return &contract.Refusal{Outcome: contract.NotRun, Reason: r}
 }
 
-// undecided turns the refusal of a request that carries a ticket into an
-// unknown outcome. The ticket may have been presented before, through another
-// entry VM, so only its agent can say that the request did not run.
-func undecided(r *http.Request, refusal *contract.Refusal) *contract.Refusal {
+// unknownIfTicketed sets the outcome of a refusal to unknown if the request carries a
+// ticket. The ticket may have been presented before, through another entry VM, so only
+// its agent can tell that the request did not run.
+func unknownIfTicketed(r *http.Request, refusal *contract.Refusal) *contract.Refusal {
 	key := r.Header.Get(HeaderIdempotencyKey)
 	if _, err := contract.ParseTicket(key); key != "" && err == nil {
 		refusal.Outcome = contract.Unknown
@@ -157,10 +158,10 @@
 	return min(limit, time.Duration(ms)*time.Millisecond), nil
 }
 
-// withTicket reads the ticket of a non-idempotent request. One without a key
-// runs at most once for this HTTP request; one with a key must be safe to send
-// again through any entry VM, which takes a ticket: a key of the caller's own
-// making is refused before anything ran, and a ticket is offered instead.
+// withTicket reads the ticket of a non-idempotent request. A request without an
+// idempotency key runs at most once for this HTTP request. A request with a key must
+// be safe to send again through any entry VM, which requires a ticket: a key that the
+// caller made up is refused before the request runs, and a ticket is offered instead.
 func (a *API) withTicket(c contract.Contract, r *http.Request) (contract.Contract, *contract.Refusal, string) {
 	key := r.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
@@ -177,13 +178,13 @@
 	return c, nil, ""
 }
 
-func (a *API) badBody(w http.ResponseWriter, r *http.Request, id contract.RequestID, err error) {
+func (a *API) refuseBody(w http.ResponseWriter, r *http.Request, id contract.RequestID, err error) {
 	status, detail := http.StatusBadRequest, "body: "+err.Error()
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		status, detail = http.StatusRequestEntityTooLarge, fmt.Sprintf("body: allowed: at most %d bytes", tooLarge.Limit)
 	}
-	a.problem(w, status, string(id), undecided(r, notRun(contract.ReasonBadRequest)), detail)
+	a.problem(w, status, string(id), unknownIfTicketed(r, notRun(contract.ReasonBadRequest)), detail)
 }
 
 func backendPath(r *http.Request, path string) string {
@@ -193,8 +194,8 @@
 	return path
 }
 
-// passedHeaders returns the header fields that go on to the backend server.
-func passedHeaders(h http.Header) []*wire.Header {
+// forwardedHeaders returns the header fields that are sent to the backend server.
+func forwardedHeaders(h http.Header) []*wire.Header {
 	out := make([]*wire.Header, 0, len(h))
 	for name, values := range h {
 		if contract.HopByHop(name) || name == "Content-Length" {
@@ -211,27 +212,27 @@
 type responseSink struct {
 	w       http.ResponseWriter
 	stream  bool
-	partial bool          // only the rest of the answer is written
+	partial bool          // only the remainder of the answer is written
 	skip    *eventSkipper // set when resuming after an event id
 }
 
 // Head implements dispatch.Sink.
 func (s *responseSink) Head(status int, headers []*wire.Header, at dispatch.Place) error {
 	h := s.w.Header()
-	sized := false
+	hasLength := false
 	for _, f := range headers {
 		if strings.EqualFold(f.GetName(), "X-Request-Id") {
 			continue
 		}
 		if f.GetName() == "Content-Length" {
-			sized = true
+			hasLength = true
 			if s.partial {
 				continue
 			}
 		}
 		h.Add(f.GetName(), f.GetValue())
 	}
-	s.stream = !sized
+	s.stream = !hasLength
 	h.Set(HeaderAttempt, formatPlace(at))
 	s.w.WriteHeader(status)
 	return nil
@@ -266,7 +267,7 @@
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// refuse answers a request that gets no answer of a backend server.
+// refuse answers a request that gets no answer from a backend server.
 func (a *API) refuse(ctx context.Context, w http.ResponseWriter, c contract.Contract, r *contract.Refusal, detail string) {
 	a.Recorder.Record(timeline.Event{
 		Kind: timeline.KindRefused, Request: string(c.Request), Subject: c.Service + " " + c.Team,
--- a/entry/api/resources.go
+++ b/entry/api/resources.go
@@ -18,7 +18,7 @@
 	"baywall.example/core/vm"
 )
 
-// Phase tells whether a resource's newest version was accepted.
+// Phase says whether a resource's newest version was accepted.
 type Phase string
 
 // Phases of a resource.
@@ -27,7 +27,7 @@
 	PhaseRejected Phase = "rejected"
 )
 
-// ResourceView is a resource as operators see it.
+// ResourceView is a resource as it is shown to operators.
 type ResourceView struct {
 	Kind     resource.Kind   `json:"kind"`
 	Name     string          `json:"name"`
@@ -36,17 +36,17 @@
 	Status   ResourceStatus  `json:"status"`
 }
 
-// ResourceStatus tells how far a resource got.
+// ResourceStatus describes the validation and rollout of a resource.
 type ResourceStatus struct {
 	Phase            Phase   `json:"phase"`
 	Reason           string  `json:"reason,omitempty"`
 	RejectedRevision uint64  `json:"rejected_revision,omitempty"`
-	InForce          int     `json:"in_force"` // VMs that have this version
+	InForce          int     `json:"in_force"` // VMs that have this revision or a later one
 	Of               int     `json:"of"`       // VMs on the list
 	Lagging          []vm.ID `json:"lagging,omitempty"`
 }
 
-// watchRefresh is how often a watch looks for a changed status.
+// watchRefresh is how often a watch checks for a changed status.
 const watchRefresh = 200 * time.Millisecond
 
 func (a *API) view(rec configuration.Record) ResourceView {
@@ -68,7 +68,7 @@
 	return v
 }
 
-// revisionOf returns the configuration revision that a VM is known to have.
+// revisionOf returns the latest configuration revision that a VM is known to have.
 func (a *API) revisionOf(m vm.VM) uint64 {
 	if m.ID == a.Self {
 		return a.Config.Revision()
@@ -116,8 +116,8 @@
 	return records
 }
 
-// watch streams one JSON line for each selected resource newer than the
-// revision asked for, and again whenever it or its status changes.
+// watch streams one JSON line for each selected resource that is newer than the
+// requested revision, and again whenever the resource or its status changes.
 func (a *API) watch(w http.ResponseWriter, r *http.Request, selected func(configuration.Record) bool, kind resource.Kind) {
 	after := uint64(0)
 	if raw := r.URL.Query().Get("revision"); raw != "" {
@@ -163,7 +163,7 @@
 func (a *API) serveCheck(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, a.MaxBody))
 	if err != nil {
-		a.badBody(w, r, "", err)
+		a.refuseBody(w, r, "", err)
 		return
 	}
 	key := resource.Key{Kind: resource.Kind(r.URL.Query().Get("kind")), Name: r.URL.Query().Get("name")}
--- a/entry/api/resume.go
+++ b/entry/api/resume.go
@@ -17,12 +17,13 @@
 	"baywall.example/entry/dispatch"
 )
 
-// resumeTimeout bounds a resumed answer.
+// resumeTimeout bounds the time that a resumed answer may take.
 const resumeTimeout = 10 * time.Minute
 
-// serveResume gives a caller the rest of an answer whose entry VM it lost. The
-// place is the Baywall-Attempt header of the first answer; the rest begins at
-// Baywall-Offset, or after the event named by Last-Event-ID.
+// serveResume sends the remainder of an answer to a caller that lost its connection
+// to the entry VM. The Baywall-Attempt header, copied from the first answer, names the
+// attempt and the VM that runs it; the remainder begins at Baywall-Offset, or after the
+// event named by Last-Event-ID.
 func (a *API) serveResume(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	place, err := parsePlace(r.Header.Get(HeaderAttempt))
 	c := contract.Contract{Request: place.Attempt.Request}
@@ -52,20 +53,20 @@
 	return fmt.Sprintf("%s/%d/%s/%d", p.VM, p.Incarnation, p.Attempt.Request, p.Attempt.Number)
 }
 
-// parsePlace reads what formatPlace wrote.
+// parsePlace parses the result of formatPlace.
 func parsePlace(s string) (dispatch.Place, error) {
 	parts := strings.Split(s, "/")
-	bad := fmt.Errorf("header %s: value %q, allowed: that of the answer's head", HeaderAttempt, s)
+	errPlace := fmt.Errorf("header %s: value %q, allowed: that of the answer's head", HeaderAttempt, s)
 	if len(parts) != 4 {
-		return dispatch.Place{}, bad
+		return dispatch.Place{}, errPlace
 	}
 	incarnation, err := strconv.ParseUint(parts[1], 10, 64)
 	if err != nil {
-		return dispatch.Place{}, bad
+		return dispatch.Place{}, errPlace
 	}
 	number, err := strconv.ParseUint(parts[3], 10, 32)
 	if err != nil {
-		return dispatch.Place{}, bad
+		return dispatch.Place{}, errPlace
 	}
 	return dispatch.Place{
 		VM: vm.ID(parts[0]), Incarnation: vm.Incarnation(incarnation),
@@ -73,15 +74,15 @@
 	}, nil
 }
 
-// eventSkipper drops the beginning of an answer: all server-sent events up to
-// and including the one with a given id.
+// eventSkipper drops the beginning of an answer: all server-sent events up to and
+// including the one with the given id.
 type eventSkipper struct {
 	last    string
 	pending []byte
 	found   bool
 }
 
-// pass returns the part of p that the caller has not had yet.
+// pass returns the part of the data received so far that the caller does not have yet.
 func (s *eventSkipper) pass(p []byte) []byte {
 	if s.found {
 		return p
@@ -104,8 +105,8 @@
 // eventID returns the id field of a server-sent event.
 func eventID(event []byte) string {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
-		if rest, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			return string(bytes.TrimSpace(rest))
+		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
+			return string(bytes.TrimSpace(value))
 		}
 	}
 	return ""
--- a/entry/api/timeline.go
+++ b/entry/api/timeline.go
@@ -22,17 +22,17 @@
 	timelineTimeout = time.Second
 	// timelineLimit is the default number of events.
 	timelineLimit = 500
-	// timelineFanout is how many VMs are asked at a time.
+	// timelineFanout is how many VMs are queried at a time.
 	timelineFanout = 16
 )
 
-// TimelineAnswer is the merged time line and the VMs whose part is missing.
+// TimelineAnswer is the merged timeline and the VMs whose events are missing.
 type TimelineAnswer struct {
 	Events  []timeline.Event `json:"events"`
 	Missing []vm.ID          `json:"missing,omitempty"`
 }
 
-// serveTimeline merges the events of all VMs.
+// serveTimeline answers with the merged events of all VMs.
 func (a *API) serveTimeline(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	q := r.URL.Query()
 	f := timeline.Filter{VM: vm.ID(q.Get("vm")), Request: q.Get("request"), Group: q.Get("group"), Limit: timelineLimit}
--- a/entry/cmd/baywall/client.go
+++ b/entry/cmd/baywall/client.go
@@ -18,15 +18,15 @@
 	"baywall.example/entry/api"
 )
 
-// connection holds the flag that all client commands share.
+// connection holds the flag shared by all client commands.
 type connection struct{ address string }
 
 func (c *connection) setFlag(f *flag.FlagSet) {
 	f.StringVar(&c.address, "entry", "", "IP:port of an entry VM")
 }
 
-// get requests a path and passes the body to read. Anything but 200 is printed
-// as the error it is.
+// get requests a path and passes the body to read. An answer with a status other than
+// 200 is printed as an error.
 func (c *connection) get(ctx context.Context, path string, query url.Values, read func(io.Reader) error) subcommands.ExitStatus {
 	u := url.URL{Scheme: "http", Host: c.address, Path: path, RawQuery: query.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
@@ -139,7 +139,7 @@
 	return c.get(ctx, path, query, print)
 }
 
-// timelineCommand prints the merged time line of all VMs.
+// timelineCommand prints the merged timeline of all VMs.
 type timelineCommand struct {
 	connection
 	vm, request, group string
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// formatEvent writes an event as one line for a person.
+// formatEvent formats an event as one human-readable line.
 func formatEvent(e timeline.Event) string {
 	line := fmt.Sprintf("%s %-14s %-15s", e.Clock.Time().UTC().Format("15:04:05.000"), e.VM, e.Kind)
 	for _, field := range []struct{ name, value string }{
--- a/entry/cmd/baywall/main.go
+++ b/entry/cmd/baywall/main.go
@@ -1,5 +1,5 @@
-// Command baywall runs on an entry VM, and is the operators' client of the
-// public interface of a running one.
+// Command baywall runs the processes of an entry VM and is the operators' client for
+// the public interface of a running one.
 package main
 
 import (
--- a/entry/cmd/baywall/serve.go
+++ b/entry/cmd/baywall/serve.go
@@ -16,7 +16,7 @@
 	"baywall.example/entry/server"
 )
 
-// serveCommand runs the entry VM's process until it is told to stop.
+// serveCommand runs the entry VM's process until it receives a stop signal.
 type serveCommand struct{ path string }
 
 func (*serveCommand) Name() string     { return "serve" }
