--- a/entry/backend/directory_test.go
+++ b/entry/backend/directory_test.go
@@ -41,8 +41,8 @@
 	return vm.VM{ID: id, Role: vm.RoleBackend, Link: ln.Addr().String(), Services: []string{"s"}, State: vm.StateLive}
 }
 
-// Links are made, broken and made again while the list changes. The test
-// guards against a deadlock between the locks of the directory and of its link pool.
+// Links are made, broken and made again while the list changes. The test guards against
+// a deadlock between the locks of the directory and of its link pool.
 func TestLinksChurnWhileListChanges(t *testing.T) {
 	is := is.New(t)
 	var ups atomic.Int64
--- a/entry/server/suspects.go
+++ b/entry/server/suspects.go
@@ -23,8 +23,8 @@
 	expireInterval = time.Second
 )
 
-// pullSuspects pulls all suspects from some other entry VMs as soon as this process knows
-// any: probes carry the suspects only a few at a time.
+// pullSuspects pulls all suspects from some other entry VMs, once this process knows other
+// VMs. Probes carry only a few suspects each.
 func (e *Server) pullSuspects(ctx context.Context) {
 	for wait.Sleep(ctx, peerCheckInterval) {
 		others := slices.Clone(e.fleet.Snapshot().Usable)
--- a/entry/upstream/conn.go
+++ b/entry/upstream/conn.go
@@ -28,8 +28,8 @@
 
 const (
 	// keepAliveIdle, keepAliveInterval and keepAliveCount bound how long a
-	// network partition goes unnoticed: 1 s + 3 x 0.5 s, within the 3 s in which
-	// the platform expects a VM to notice it.
+	// silent network partition goes unnoticed: 1 s + 3 x 0.5 s, within the 3 s in
+	// which the platform expects a VM to notice it.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveCount    = 3
