--- a/entry/upstream/conn.go
+++ b/entry/upstream/conn.go
@@ -23,7 +23,7 @@
 	ErrEnded = eris.New("upstream: connection refused: no process listens")
 	// ErrLost means that the request was, or may have been, sent and no complete
 	// answer was received: it may have run.
-	ErrLost = eris.New("upstream: connection lost after the request was sent")
+	ErrLost = eris.New("upstream: lost after it was sent")
 )
 
 const (
