--- a/agent/engine/notice_test.go
+++ b/agent/engine/notice_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestReadNotice(t *testing.T) {
-	none := ratelimit.Said{Kind: ratelimit.SaidNone}
+	none := ratelimit.Report{Kind: ratelimit.LimitNone}
 	cases := []struct {
 		name   string
 		status int
@@ -22,7 +22,7 @@
 	}{
 		{"nothing", 200, http.Header{}, notice.Notice{Limit: none}, false},
 		{"all at once", 503, http.Header{"X-Rate-Limit": {"2"}, "Retry-After": {"1.5"}, "X-Leaving": {"1"}}, notice.Notice{
-			Limit: ratelimit.Said{Kind: ratelimit.SaidLimit, Limit: 2}, Rest: 1500 * time.Millisecond, Leaving: true,
+			Limit: ratelimit.Report{Kind: ratelimit.LimitSet, Limit: 2}, Backoff: 1500 * time.Millisecond, Leaving: true,
 		}, false},
 		{"no backoff in a successful answer", 200, http.Header{"Retry-After": {"2"}}, notice.Notice{Limit: none}, false},
 		{"one malformed, the others apply", 503, http.Header{"Retry-After": {"soon"}, "X-Leaving": {"1"}}, notice.Notice{Limit: none, Leaving: true}, true},
--- a/agent/group/group.go
+++ b/agent/group/group.go
@@ -40,31 +40,31 @@
 	// OrderLifetime is the longest time that an order to an engine may be in flight; a
 	// restarted agent waits that long before it makes promises. Default 2.5s.
 	OrderLifetime time.Duration
-	// NoWait lets a restarted agent skip that wait. It is set where an order that takes
+	// SkipRecoveryWait lets a restarted agent skip that wait. It is set where an order that takes
 	// effect late does no harm.
-	NoWait bool
-	// Election is how long rank 0 waits for a coordinator that it has had contact with,
+	SkipRecoveryWait bool
+	// ElectionTimeout is how long rank 0 waits for a coordinator that it has had contact with,
 	// First how long for one that it has never had contact with. Each further rank waits
 	// Stagger longer, and each rank after the first successors LateStagger longer.
 	// Defaults 1.5s, Election, 300ms and Stagger.
-	Election, First, Stagger, LateStagger time.Duration
+	ElectionTimeout, FirstElectionTimeout, Stagger, NonSuccessorStagger time.Duration
 	// Tick is the interval at which a coordinator processes timeouts. Default 50ms.
 	Tick time.Duration
 	// Poll is the interval between a coordinator's heartbeats. Counts, which are large,
 	// are collected once per planning period. Default 500ms.
 	Poll time.Duration
-	// PollSteps lets a poll for counts begin before Poll has passed, once a planning
+	// PollOnStep lets a poll for counts begin before Poll has passed, once a planning
 	// period is over and the group has begun a new step.
-	PollSteps bool
+	PollOnStep bool
 	// Switch configures the timing of switches.
 	Switch mapswitch.Timing
 	// CountsWeight is the weight of the newest counts in the smoothed ones while the
 	// demand does not change. Default 0.4.
 	CountsWeight float64
-	// LeastGain is the gain that a switch must bring, in skew times the seconds for which
+	// MinGain is the gain that a switch must bring, in skew times the seconds for which
 	// the demand is expected to last: passes take longer while experts are copied, and a
 	// change of demand has to wait. Default 0.
-	LeastGain float64
+	MinGain float64
 	// Link is the speed of this VM's link in bytes per second, of which a coordinator
 	// uses a tenth. Default 0: unlimited.
 	Link float64
@@ -82,10 +82,10 @@
 
 func (t *Timing) provision() {
 	t.OrderLifetime = settings.Or(t.OrderLifetime, defaultOrderLifetime)
-	t.Election = settings.Or(t.Election, defaultElection)
-	t.First = settings.Or(t.First, t.Election)
+	t.ElectionTimeout = settings.Or(t.ElectionTimeout, defaultElection)
+	t.FirstElectionTimeout = settings.Or(t.FirstElectionTimeout, t.ElectionTimeout)
 	t.Stagger = settings.Or(t.Stagger, defaultStagger)
-	t.LateStagger = settings.Or(t.LateStagger, t.Stagger)
+	t.NonSuccessorStagger = settings.Or(t.NonSuccessorStagger, t.Stagger)
 	t.Tick = settings.Or(t.Tick, defaultTick)
 	t.Poll = settings.Or(t.Poll, defaultPoll)
 	t.CountsWeight = settings.Or(t.CountsWeight, defaultCountsWeight)
@@ -99,8 +99,8 @@
 // callTimeout bounds one order to one rank.
 const callTimeout = 2 * time.Second
 
-// World provides the groups and the addresses of their ranks' agents.
-type World interface {
+// Directory provides the groups and the addresses of their ranks' agents.
+type Directory interface {
 	// Groups returns the groups that this VM may be a rank of, by name. A group's pointer
 	// stays the same as long as the group is not re-formed.
 	Groups() map[string]*resource.Group
@@ -108,8 +108,8 @@
 	Intent(service string) resource.Intent
 	// Find returns a rank's VM with its link address.
 	Find(id vm.ID) vm.VM
-	// Learn stores the shape of a group's engines as its coordinator reports it.
-	Learn(shape expertmap.Shape)
+	// LearnShape stores the shape of a group's engines as its coordinator reports it.
+	LearnShape(shape expertmap.Shape)
 }
 
 // Environment holds the dependencies of a Set.
@@ -118,16 +118,16 @@
 	Incarnation vm.Incarnation
 	Engine      mapswitch.Engine
 	Pool        *link.Pool
-	World       World
+	Directory   Directory
 	Recorder    *timeline.Recorder
 	Log         zerolog.Logger
 	Timing      Timing
 	// InitialMap returns the map that engines of a shape begin with. It is nil if that
 	// map is not known; the coordinator then requests it from the ranks.
 	InitialMap func(expertmap.Shape) expertmap.Map
-	// AskHold requests other VMs, which have no rank, to order the rank of a VM to hold a
+	// RequestHold requests other VMs, which have no rank, to order the rank of a VM to hold a
 	// step in an epoch. It is nil if there are no such VMs.
-	AskHold func(rank vm.VM, epoch, step uint64)
+	RequestHold func(rank vm.VM, epoch, step uint64)
 }
 
 // Set holds the groups of one agent.
@@ -169,7 +169,7 @@
 
 // Run participates in the groups until the context ends.
 func (s *Set) Run(ctx context.Context) {
-	if !s.env.Timing.NoWait && !wait.Sleep(ctx, s.env.Timing.OrderLifetime) {
+	if !s.env.Timing.SkipRecoveryWait && !wait.Sleep(ctx, s.env.Timing.OrderLifetime) {
 		return
 	}
 	s.member.Recovered()
@@ -188,14 +188,14 @@
 func (s *Set) Formed(group string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.contacted[group] = contact{at: clock.Now().Add(-s.env.Timing.First)}
+	s.contacted[group] = contact{at: clock.Now().Add(-s.env.Timing.FirstElectionTimeout)}
 }
 
 // electionCheckInterval returns how often a rank that does not coordinate checks whether
 // it has to. The interval is longer for ranks behind the first successors.
 func (s *Set) electionCheckInterval() time.Duration {
-	for _, g := range s.env.World.Groups() {
-		if s.rankIn(g) < Heirs {
+	for _, g := range s.env.Directory.Groups() {
+		if s.rankIn(g) < Successors {
 			return successorTicks * s.env.Timing.Tick
 		}
 		return otherTicks * s.env.Timing.Tick
@@ -206,7 +206,7 @@
 // groupToCoordinate returns a group of this VM whose coordinator has been silent for
 // longer than this rank's election timeout.
 func (s *Set) groupToCoordinate(now time.Time) (name string, rank int, ok bool) {
-	for name, g := range s.env.World.Groups() {
+	for name, g := range s.env.Directory.Groups() {
 		rank := s.rankIn(g)
 		if rank < 0 {
 			continue
@@ -227,7 +227,7 @@
 	switch {
 	case !known:
 		c = contact{at: now}
-	case c.spec != g && c.contacted && now.Sub(c.at) > s.env.Timing.Election:
+	case c.spec != g && c.contacted && now.Sub(c.at) > s.env.Timing.ElectionTimeout:
 		// The group was re-formed, and all ranks see that at the same moment: their
 		// election timeouts start now. With six coordinators at once the first map came
 		// 0.1 s later.
@@ -235,26 +235,26 @@
 	}
 	c.spec = g
 	s.contacted[name] = c
-	period := s.env.Timing.First
+	period := s.env.Timing.FirstElectionTimeout
 	if c.contacted {
-		period = s.env.Timing.Election
+		period = s.env.Timing.ElectionTimeout
 	}
 	return now.Sub(c.at) > period+s.electionDelay(rank)
 }
 
-// Heirs is the number of ranks that are the first to take over a group, in rank order.
+// Successors is the number of ranks that are the first to take over a group, in rank order.
 // The others take over only when all of these are silent.
-const Heirs = 4
+const Successors = 4
 
 // electionDelay returns how much longer than rank 0 a rank waits for a coordinator.
 func (s *Set) electionDelay(rank int) time.Duration {
-	late := max(0, rank-Heirs)
-	return time.Duration(rank-late)*s.env.Timing.Stagger + time.Duration(late)*s.env.Timing.LateStagger
+	late := max(0, rank-Successors)
+	return time.Duration(rank-late)*s.env.Timing.Stagger + time.Duration(late)*s.env.Timing.NonSuccessorStagger
 }
 
-// Heard returns when the coordinator of a group was last heard from, or the zero time if
+// LastContact returns when the coordinator of a group was last heard from, or the zero time if
 // it never was.
-func (s *Set) Heard(group string) time.Time {
+func (s *Set) LastContact(group string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c := s.contacted[group]; c.contacted {
@@ -275,7 +275,7 @@
 // Handle carries out a coordinator's order.
 func (s *Set) Handle(ctx context.Context, w *wire.SwitchOrder) *wire.SwitchReply {
 	if w.GetShape() != nil {
-		s.env.World.Learn(shapeFromWire(w.GetShape()))
+		s.env.Directory.LearnShape(shapeFromWire(w.GetShape()))
 	}
 	if w.GetPhase() == wire.SwitchPhase_SWITCH_COUNTS {
 		return s.handleCounts(ctx, w)
@@ -293,7 +293,7 @@
 	}
 	if r.OK && o.Phase != mapswitch.PhaseRead {
 		s.env.Recorder.Record(timeline.Event{
-			Kind: timeline.KindSwitch, Group: w.GetGroup(), Subject: w.GetCoordinator(), Choice: o.Phase.String(),
+			Kind: timeline.KindMapSwitch, Group: w.GetGroup(), Subject: w.GetCoordinator(), Choice: o.Phase.String(),
 		})
 	}
 	out := replyToWire(r)
@@ -355,7 +355,7 @@
 // ownPlacement returns this rank's experts of the map in use. The engine may report the
 // slots of all ranks.
 func (s *Set) ownPlacement(group string, layers [][]int32, slots int) [][]int32 {
-	g := s.env.World.Groups()[group]
+	g := s.env.Directory.Groups()[group]
 	if g == nil {
 		return layers
 	}
--- a/agent/group/group_test.go
+++ b/agent/group/group_test.go
@@ -78,7 +78,7 @@
 	return vm.VM{}
 }
 
-func (a *agents) Learn(expertmap.Shape) {}
+func (a *agents) LearnShape(expertmap.Shape) {}
 
 // ServeStream serves the orders of another agent.
 func (a *agent) ServeStream(ctx context.Context, _ *link.Link, s *link.Stream, call *wire.Call) {
@@ -139,11 +139,11 @@
 	}
 	out.pool = link.NewPool(local, out, nil, nil)
 	env := Environment{
-		VM: id, Incarnation: 1, Engine: a.engines.all[r], Pool: out.pool, World: a,
+		VM: id, Incarnation: 1, Engine: a.engines.all[r], Pool: out.pool, Directory: a,
 		Recorder: timeline.NewRecorder(id, 100, zerolog.Nop()), Log: zerolog.New(io.Discard).Hook(out), Timing: timing,
 	}
 	if a.askHold != nil {
-		env.AskHold = func(rank vm.VM, _, step uint64) { a.askHold(slices.Index(a.group.Ranks, rank.ID), step) }
+		env.RequestHold = func(rank vm.VM, _, step uint64) { a.askHold(slices.Index(a.group.Ranks, rank.ID), step) }
 	}
 	out.set = NewSet(env)
 	go func() { _ = link.Accept(ln, local, nil, out) }()
@@ -152,9 +152,9 @@
 
 // testTiming has short times for tests.
 var testTiming = Timing{
-	NoWait: true, Election: 800 * time.Millisecond, First: 50 * time.Millisecond, Stagger: 400 * time.Millisecond,
-	Tick: 10 * time.Millisecond, Poll: 100 * time.Millisecond, PollSteps: true, CountsWeight: 0.2,
-	Switch: mapswitch.Timing{Resend: 300 * time.Millisecond, Lead: 4, MostLead: 40},
+	SkipRecoveryWait: true, ElectionTimeout: 800 * time.Millisecond, FirstElectionTimeout: 50 * time.Millisecond, Stagger: 400 * time.Millisecond,
+	Tick: 10 * time.Millisecond, Poll: 100 * time.Millisecond, PollOnStep: true, CountsWeight: 0.2,
+	Switch: mapswitch.Timing{Resend: 300 * time.Millisecond, LeadSteps: 4, MaxLeadSteps: 40},
 }
 
 // largeGroup is a group whose coordinator cannot call all ranks itself.
@@ -209,7 +209,7 @@
 	is := is.New(t)
 	timing := testTiming
 	timing.Link = 300_000 // bytes per second: a tenth is less than all counts take
-	timing.LeastGain = 1e9
+	timing.MinGain = 1e9
 	world := newAgents(t, largeGroup, timing)
 	coordinator := &world.all[0].traffic
 	await(t, "polls", 10*time.Second, func() bool { return coordinator.Load() > 100_000 })
@@ -261,7 +261,7 @@
 // order.
 func TestRanksCoordinateAReformedGroupInRankOrder(t *testing.T) {
 	is := is.New(t)
-	timing := Timing{Election: 600 * time.Millisecond, First: 100 * time.Millisecond, Stagger: 150 * time.Millisecond, LateStagger: 25 * time.Millisecond}
+	timing := Timing{ElectionTimeout: 600 * time.Millisecond, FirstElectionTimeout: 100 * time.Millisecond, Stagger: 150 * time.Millisecond, NonSuccessorStagger: 25 * time.Millisecond}
 	var sets []*Set
 	for r := range 8 {
 		sets = append(sets, NewSet(Environment{VM: vm.ID(fmt.Sprint(r)), Timing: timing}))
@@ -290,7 +290,7 @@
 // A rank that has seen its group being formed knows that nobody coordinates it yet.
 func TestRankZeroCoordinatesAtOnceAfterItSawTheGroupForm(t *testing.T) {
 	is := is.New(t)
-	timing := Timing{Election: 600 * time.Millisecond, First: 100 * time.Millisecond, Stagger: 150 * time.Millisecond}
+	timing := Timing{ElectionTimeout: 600 * time.Millisecond, FirstElectionTimeout: 100 * time.Millisecond, Stagger: 150 * time.Millisecond}
 	g := &resource.Group{}
 	s := NewSet(Environment{VM: "a", Timing: timing})
 	is.True(!s.electionDue("g", g, 0, time.Now())) // just started: it waits for a coordinator first
--- a/agent/group/lead.go
+++ b/agent/group/lead.go
@@ -25,7 +25,7 @@
 	answers      chan answer
 	maps         maps
 	demand       *expertmap.Demand
-	lifetime     *expertmap.Lifetime
+	lifetime     *expertmap.DemandLifetime
 
 	budget   budget
 	rotation rotation
@@ -53,18 +53,18 @@
 // coordinate drives the group until another coordinator supersedes this one, the group's
 // resource changes, or the context ends.
 func (s *Set) coordinate(ctx context.Context, name string, rank int) {
-	spec := s.env.World.Groups()[name]
+	spec := s.env.Directory.Groups()[name]
 	if spec == nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l := s.newLeadership(name, rank, spec)
-	l.record(timeline.KindLead, "coordinate", fmt.Sprintf("no coordinator heard; fence %d", l.coord.Fence()))
+	l.record(timeline.KindCoordinator, "coordinate", fmt.Sprintf("no coordinator heard; fence %d", l.coord.Fence()))
 	ticker := time.NewTicker(s.env.Timing.Tick)
 	defer ticker.Stop()
 	stage := l.coord.Stage()
-	for l.coord.Stage() != mapswitch.StageSuperseded && s.env.World.Groups()[name] == spec {
+	for l.coord.Stage() != mapswitch.StageSuperseded && s.env.Directory.Groups()[name] == spec {
 		select {
 		case <-ctx.Done():
 			return
@@ -84,7 +84,7 @@
 		}
 		if l.coord.Stage() != stage {
 			stage = l.coord.Stage()
-			l.record(timeline.KindSwitch, stage.String(), fmt.Sprintf("step %d", l.coord.Step()))
+			l.record(timeline.KindMapSwitch, stage.String(), fmt.Sprintf("step %d", l.coord.Step()))
 		}
 	}
 	s.observedFences[name] = l.coord.HighestFence()
@@ -126,8 +126,8 @@
 		return
 	}
 	passed := now.Sub(l.lastPoll)
-	due := now.Sub(l.lastPlan) >= l.set.env.World.Intent(l.spec.Service).PeriodMS.Duration()
-	if passed < l.budget.minInterval(l.set.env.Timing.Election) {
+	due := now.Sub(l.lastPlan) >= l.set.env.Directory.Intent(l.spec.Service).PeriodMS.Duration()
+	if passed < l.budget.minInterval(l.set.env.Timing.ElectionTimeout) {
 		return
 	}
 	if passed < l.set.env.Timing.Poll && !(due && l.newStepBegan(ctx)) {
@@ -245,7 +245,7 @@
 // new steps trigger polls: counts that are collected within one step seldom mix two
 // demands.
 func (l *leadership) newStepBegan(ctx context.Context) bool {
-	if !l.set.env.Timing.PollSteps {
+	if !l.set.env.Timing.PollOnStep {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, observeTimeout)
--- a/agent/group/orders.go
+++ b/agent/group/orders.go
@@ -59,7 +59,7 @@
 func (l *leadership) target(rank, relay int, incarnation uint64) *wire.RelayTarget {
 	t := &wire.RelayTarget{Rank: uint32(rank), Incarnation: incarnation}
 	if rank != relay {
-		v := l.set.env.World.Find(l.spec.Ranks[rank])
+		v := l.set.env.Directory.Find(l.spec.Ranks[rank])
 		t.Vm, t.Address = string(v.ID), v.Link
 	}
 	return t
@@ -123,10 +123,10 @@
 // sent that order, if the VM has a rank: in one case for 4 s, as long as the VM was
 // frozen.
 func (l *leadership) requestHold(o mapswitch.Outgoing) bool {
-	if o.Order.Phase != mapswitch.PhaseHold || o.Resent || l.set.env.AskHold == nil {
+	if o.Order.Phase != mapswitch.PhaseHold || o.Resent || l.set.env.RequestHold == nil {
 		return false
 	}
-	l.set.env.AskHold(l.set.env.World.Find(l.spec.Ranks[o.Rank]), o.Order.Epoch, o.Order.Step)
+	l.set.env.RequestHold(l.set.env.Directory.Find(l.spec.Ranks[o.Rank]), o.Order.Epoch, o.Order.Step)
 	return true
 }
 
@@ -203,7 +203,7 @@
 			return nil
 		})
 	}
-	conn, err := l.set.env.Pool.Get(ctx, l.set.env.World.Find(l.spec.Ranks[rank]))
+	conn, err := l.set.env.Pool.Get(ctx, l.set.env.Directory.Find(l.spec.Ranks[rank]))
 	if err != nil {
 		return err
 	}
--- a/agent/group/plan.go
+++ b/agent/group/plan.go
@@ -57,7 +57,7 @@
 	l.planning = true
 	in := expertmap.Input{
 		Shape: shapeOf(&l.spec), Counts: l.demand.Counts().Clone(), Speeds: c.speeds, Current: current,
-		Price:  price(l.set.env.World.Intent(l.spec.Service).MoveCost, c.running),
+		Price:  price(l.set.env.Directory.Intent(l.spec.Service).MoveCost, c.running),
 		MaxNew: l.spec.MaxNewExperts, MaxNewTotal: l.spec.MaxNewTotal,
 	}
 	search := l.planner()
@@ -70,17 +70,17 @@
 // propose starts a switch to a planned map if its gain outweighs the cost of its moves.
 func (l *leadership) propose(p plan, now time.Time) {
 	if p.err != nil {
-		l.record(timeline.KindPlan, "none", p.err.Error())
+		l.record(timeline.KindMapPlan, "none", p.err.Error())
 		return
 	}
 	res := p.result
 	reason := fmt.Sprintf("predicted skew %.4f -> %.4f with %d moves at price %.3g in %s",
 		res.SkewBefore, res.SkewAfter, res.Moves, p.price, p.took.Round(time.Millisecond))
-	gain := (res.SkewBefore - res.SkewAfter) * l.lifetime.Rest(now).Seconds()
-	if res.Moves == 0 || gain < l.set.env.Timing.LeastGain || !l.coord.InEffect(p.from) {
+	gain := (res.SkewBefore - res.SkewAfter) * l.lifetime.Remaining(now).Seconds()
+	if res.Moves == 0 || gain < l.set.env.Timing.MinGain || !l.coord.InEffect(p.from) {
 		l.set.env.Log.Debug().Str("group", l.name).Str("reason", reason).Msg("planned map rejected")
 		return
 	}
-	l.record(timeline.KindPlan, "switch", reason)
+	l.record(timeline.KindMapPlan, "switch", reason)
 	l.coord.Propose(res.Map, now)
 }
--- a/agent/group/relay_test.go
+++ b/agent/group/relay_test.go
@@ -15,7 +15,7 @@
 // nothing.
 func TestRelayReportsRankThatItCannotReach(t *testing.T) {
 	is := is.New(t)
-	world := newAgents(t, expertmap.Shape{Ranks: 3, Slots: 1, Layers: 1, Experts: 3}, Timing{First: time.Hour})
+	world := newAgents(t, expertmap.Shape{Ranks: 3, Slots: 1, Layers: 1, Experts: 3}, Timing{FirstElectionTimeout: time.Hour})
 	world.all[0].set.member.Recovered()
 	r := &wire.SwitchRelay{
 		Order: &wire.SwitchOrder{Group: "g", Phase: wire.SwitchPhase_SWITCH_READ, Fence: 7},
--- a/agent/group/remembered.go
+++ b/agent/group/remembered.go
@@ -13,7 +13,7 @@
 type demand struct {
 	shape    expertmap.Shape
 	estimate *expertmap.Demand
-	lifetime *expertmap.Lifetime
+	lifetime *expertmap.DemandLifetime
 }
 
 // demandOf returns what this rank knows of a group's demand from an earlier time as its
@@ -21,7 +21,7 @@
 func (s *Set) demandOf(group string, shape expertmap.Shape, now time.Time) demand {
 	d, ok := s.demands[group]
 	if !ok || d.shape != shape {
-		d = demand{shape: shape, estimate: expertmap.NewDemand(shape, s.env.Timing.CountsWeight), lifetime: expertmap.NewLifetime(now)}
+		d = demand{shape: shape, estimate: expertmap.NewDemand(shape, s.env.Timing.CountsWeight), lifetime: expertmap.NewDemandLifetime(now)}
 		s.demands[group] = d
 	}
 	return d
--- a/agent/mapswitch/coordinator.go
+++ b/agent/mapswitch/coordinator.go
@@ -59,12 +59,12 @@
 	Prepare time.Duration
 	// Resend is the time after which an unanswered order is sent again. Default 200ms.
 	Resend time.Duration
-	// Lead is the minimum number of steps between the most advanced rank and the step of
+	// LeadSteps is the minimum number of steps between the most advanced rank and the step of
 	// the switch. It grows to the number of steps that the latest switch would have
 	// needed to keep the group from waiting. Default 40.
-	Lead uint64
-	// MostLead is the upper bound of that number. Default twice the minimum.
-	MostLead uint64
+	LeadSteps uint64
+	// MaxLeadSteps is the upper bound of that number. Default twice the minimum.
+	MaxLeadSteps uint64
 }
 
 // Defaults of Timing.
@@ -77,8 +77,8 @@
 func (t *Timing) provision() {
 	t.Prepare = settings.Or(t.Prepare, DefaultPrepare)
 	t.Resend = settings.Or(t.Resend, DefaultResend)
-	t.Lead = settings.Or(t.Lead, DefaultLead)
-	t.MostLead = settings.Or(t.MostLead, 2*t.Lead)
+	t.LeadSteps = settings.Or(t.LeadSteps, DefaultLead)
+	t.MaxLeadSteps = settings.Or(t.MaxLeadSteps, 2*t.LeadSteps)
 }
 
 // Outgoing is an order to one rank.
@@ -362,7 +362,7 @@
 // leadSteps returns the number of steps between the most advanced rank and the next
 // switch.
 func (c *Coordinator) leadSteps() uint64 {
-	return min(c.timing.MostLead, max(c.timing.Lead, c.leadEstimator.steps()))
+	return min(c.timing.MaxLeadSteps, max(c.timing.LeadSteps, c.leadEstimator.steps()))
 }
 
 // heldWaitLimit is how long ranks may be seen to hold a step while no switch is in
--- a/agent/mapswitch/coordinator_test.go
+++ b/agent/mapswitch/coordinator_test.go
@@ -63,7 +63,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			c := idleCoordinator(t, Timing{Lead: 1, MostLead: 8})
+			c := idleCoordinator(t, Timing{LeadSteps: 1, MaxLeadSteps: 8})
 			c.leadEstimator.switchDuration = 60 * time.Millisecond
 			for step := range 10 {
 				c.Observe(uint64(step+1), false, start.Add(time.Duration(step)*test.length))
--- a/agent/mapswitch/ranks_world_test.go
+++ b/agent/mapswitch/ranks_world_test.go
@@ -47,7 +47,7 @@
 	}
 	w := r.world
 	return rank.Report{
-		Group: "g", Epoch: w.epoch, Rank: r.index, Size: len(w.ranks), Open: true, Sequence: r.sequence, Pace: 1,
+		Group: "g", Epoch: w.epoch, Rank: r.index, Size: len(w.ranks), Open: true, Sequence: r.sequence, Slowdown: 1,
 		Step: w.step, Map: r.inUse.version, Prepared: r.prepared.version, Armed: r.armed, Held: r.held,
 	}, nil
 }
@@ -190,7 +190,7 @@
 		}
 	}
 	fence := mapswitch.NextFence(max(highest, w.ranks[i].member.Promised()), i, w.now)
-	timing := mapswitch.Timing{Lead: 3, Prepare: 2 * time.Second, Resend: 100 * time.Millisecond}
+	timing := mapswitch.Timing{LeadSteps: 3, Prepare: 2 * time.Second, Resend: 100 * time.Millisecond}
 	w.coords = append(w.coords, &rankCoordinator{mapswitch.NewCoordinator(len(w.ranks), fence, timing, w.now), i})
 }
 
--- a/agent/mapswitch/world_test.go
+++ b/agent/mapswitch/world_test.go
@@ -141,7 +141,7 @@
 }
 
 // timing has a short lead, so that switches fit into short schedules.
-var timing = Timing{Lead: 3, Prepare: 2 * time.Second, Resend: 100 * time.Millisecond}
+var timing = Timing{LeadSteps: 3, Prepare: 2 * time.Second, Resend: 100 * time.Millisecond}
 
 func (w *world) lead(rank int) {
 	w.now = w.now.Add(time.Millisecond) // no two coordinators start in the same millisecond
--- a/agent/rank/api.go
+++ b/agent/rank/api.go
@@ -24,7 +24,7 @@
 	Open     bool
 	Busy     bool    // an order is being carried out
 	Sequence uint64  // number of orders begun
-	Pace     float64 // duration of a step over its usual duration; more than 1 is slow
+	Slowdown float64 // duration of a step over its usual duration; more than 1 is slow
 	Running  int     // requests in the batch
 	Waiting  int     // requests in the queue
 
--- a/agent/rank/engine.go
+++ b/agent/rank/engine.go
@@ -111,8 +111,8 @@
 
 func stateOf(r Report) engine.ExpertState {
 	s := engine.ExpertState{Step: r.Step, Active: r.Map, Loaded: r.Prepared, Hold: r.Held, Epoch: r.Epoch, Running: r.Running}
-	if r.Pace > 0 {
-		s.Speed = 1 / r.Pace
+	if r.Slowdown > 0 {
+		s.Speed = 1 / r.Slowdown
 	}
 	if r.Armed.Version != 0 {
 		s.Loaded, s.Activate = r.Armed.Version, r.Armed.Step
--- a/agent/rankserver/label.go
+++ b/agent/rankserver/label.go
@@ -43,7 +43,7 @@
 		// The rank number is known while the group is still forming. Successors read the
 		// configuration from then on; reading it only once the group was open took up to
 		// 0.46 s more.
-		if isSuccessor := report.Rank < group.Heirs; r.successor.Swap(isSuccessor) != isSuccessor {
+		if isSuccessor := report.Rank < group.Successors; r.successor.Swap(isSuccessor) != isSuccessor {
 			r.updateSeeds()
 		}
 	}
@@ -71,7 +71,7 @@
 	if before == nil || *before != *label {
 		r.node.Announce()
 	}
-	r.reportSlowdown(report.Pace)
+	r.reportSlowdown(report.Slowdown)
 }
 
 // formedReportTime is how long the forming of the group is reported to gateways. It is
@@ -88,7 +88,7 @@
 // others, or 0.3 s later from their own probe.
 func (r *Server) reportSlowdown(slowdown float64) {
 	slow := slowdown >= slowThreshold
-	slowdownReport := cluster.Pace{Engine: r.settings.Engine, Pace: slowdown}
+	slowdownReport := cluster.Slowdown{Engine: r.settings.Engine, Slowdown: slowdown}
 	if clock.Since(r.formed) < formedReportTime {
 		slowdownReport.Formed = r.formed
 	}
@@ -99,7 +99,7 @@
 		r.log.Info().Float64("pace", slowdown).Bool("slow", slow).Msg("pace of the rank changed")
 	}
 	r.slow = slow
-	r.node.TellPace(r.settings.Gateways, slowdownReport)
+	r.node.ReportSlowdown(r.settings.Gateways, slowdownReport)
 }
 
 // isSuccessor reports whether this rank, by the latest group that it was seen in, is one of
@@ -110,5 +110,5 @@
 // one of them, and its group has a coordinator.
 func (r *Server) isStandby() bool {
 	label := r.world.getLabel()
-	return label != nil && !r.isSuccessor() && clock.Since(r.groups.Heard(label.Group)) < coordinatorWaitLimit
+	return label != nil && !r.isSuccessor() && clock.Since(r.groups.LastContact(label.Group)) < coordinatorWaitLimit
 }
--- a/agent/rankserver/server.go
+++ b/agent/rankserver/server.go
@@ -71,11 +71,11 @@
 // groupTiming has short intervals, because demand shifts every few seconds and a pass of
 // the group takes some tens of milliseconds.
 var groupTiming = group.Timing{
-	NoWait:   true,
-	Election: 600 * time.Millisecond, First: 100 * time.Millisecond, Stagger: 150 * time.Millisecond, LateStagger: 25 * time.Millisecond,
-	Tick: 20 * time.Millisecond, Poll: 200 * time.Millisecond, PollSteps: true, CountsWeight: 0.1, LeastGain: 0.25,
+	SkipRecoveryWait: true,
+	ElectionTimeout:  600 * time.Millisecond, FirstElectionTimeout: 100 * time.Millisecond, Stagger: 150 * time.Millisecond, NonSuccessorStagger: 25 * time.Millisecond,
+	Tick: 20 * time.Millisecond, Poll: 200 * time.Millisecond, PollOnStep: true, CountsWeight: 0.1, MinGain: 0.25,
 	Switch: mapswitch.Timing{
-		Prepare: 6 * time.Second, Resend: 150 * time.Millisecond, Lead: 1, MostLead: 8,
+		Prepare: 6 * time.Second, Resend: 150 * time.Millisecond, LeadSteps: 1, MaxLeadSteps: 8,
 	},
 }
 
@@ -153,8 +153,8 @@
 	timing.Link = s.Machine.LinkMbps * bytesPerMbit
 	r.groups = group.NewSet(group.Environment{
 		VM: id, Incarnation: r.incarnation, Engine: rank.NewEngine(r.api, r.world.shape, log),
-		Pool: r.pool, World: r.world, Recorder: r.recorder, Log: log, Timing: timing, InitialMap: a.InitialMap,
-		AskHold: r.requestHold,
+		Pool: r.pool, Directory: r.world, Recorder: r.recorder, Log: log, Timing: timing, InitialMap: a.InitialMap,
+		RequestHold: r.requestHold,
 	})
 	r.set.NewGauge("baywall_peers", func() float64 { return float64(len(node.Live())) })
 	r.set.NewGauge("baywall_link_bytes", func() float64 { return float64(r.traffic.Load()) })
--- a/agent/rankserver/world.go
+++ b/agent/rankserver/world.go
@@ -67,9 +67,9 @@
 	return rank.Shape{Layers: w.engine.Layers, Experts: w.engine.Experts, Slots: w.engine.SlotsPerRank}
 }
 
-// Learn stores the shape of the group's engines that its coordinator reports, so that a
+// LearnShape stores the shape of the group's engines that its coordinator reports, so that a
 // rank that does not coordinate need not read the configuration.
-func (w *world) Learn(shape expertmap.Shape) {
+func (w *world) LearnShape(shape expertmap.Shape) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.reportedShape = shape
--- a/agent/record/table.go
+++ b/agent/record/table.go
@@ -190,9 +190,9 @@
 	if ticket.Incarnation != t.incarnation {
 		safe := t.incarnation.StartedAt().Add(t.limits.ClockSkew)
 		if ticket.Issued.After(safe) && ticket.Incarnation < t.incarnation {
-			return refuse(contract.NotRun, contract.ReasonReplacedAgent)
+			return refuse(contract.NotRun, contract.ReasonAgentReplaced)
 		}
-		return refuse(contract.Unknown, contract.ReasonReplacedAgent)
+		return refuse(contract.Unknown, contract.ReasonAgentReplaced)
 	}
 	if now.After(t.nonceExpiry(ticket).Add(-t.limits.ClockSkew)) {
 		return refuse(contract.Unknown, contract.ReasonTicketForgotten)
--- a/agent/server/attempts.go
+++ b/agent/server/attempts.go
@@ -338,7 +338,7 @@
 	case errors.As(err, &ended):
 		r.EngineEnd = ended.Number
 	case eris.Is(err, engine.ErrDial):
-		r = &contract.Refusal{Outcome: contract.NotRun, Reason: contract.ReasonEngineDial}
+		r = &contract.Refusal{Outcome: contract.NotRun, Reason: contract.ReasonEngineUnreachable}
 	case eris.Is(err, record.ErrTombstoned):
 		r = &contract.Refusal{Outcome: contract.NotRun, Reason: contract.ReasonTombstoned}
 	case eris.Is(err, record.ErrEvicted):
@@ -386,6 +386,6 @@
 		Deadline:    time.UnixMilli(w.GetDeadlineUnixMs()),
 	}
 	fate := wireFates[a.table.Fate(q, time.Now())]
-	a.recorder.Record(timeline.Event{Kind: timeline.KindFate, Request: q.ID.String(), Choice: fate.String()})
+	a.recorder.Record(timeline.Event{Kind: timeline.KindAttemptOutcome, Request: q.ID.String(), Choice: fate.String()})
 	_ = s.SendReply(&wire.Reply{Body: &wire.Reply_Fate{Fate: &wire.FateReply{Fate: fate}}})
 }
--- a/agent/server/notice.go
+++ b/agent/server/notice.go
@@ -29,8 +29,8 @@
 	if _, leaving := noticeState.Leaving(); leaving {
 		return drainRefusal(contract.ReasonDraining)
 	}
-	if backoff := noticeState.RestsUntil().Sub(now); backoff > 0 {
-		return &contract.Refusal{Outcome: contract.NotRun, Reason: contract.ReasonRest, RetryAfter: backoff}
+	if backoff := noticeState.BackoffUntil().Sub(now); backoff > 0 {
+		return &contract.Refusal{Outcome: contract.NotRun, Reason: contract.ReasonBackoff, RetryAfter: backoff}
 	}
 	wait, ok := a.limit.Take(now)
 	if ok {
@@ -46,11 +46,11 @@
 	if err != nil {
 		a.log.Warn().Err(err).Str("request", id.String()).Msg("notice of the backend server not understood")
 	}
-	a.limit.Heard(n.Limit, sent, now)
+	a.limit.Record(n.Limit, sent, now)
 	noticeState := a.noticeState.Load()
-	if n.Rest > 0 {
-		until, before := noticeState.Rest(now.Add(n.Rest), now)
-		a.log.Info().Str("request", id.String()).Dur("rest", n.Rest).Dur("left_out", until.Sub(now)).Bool("rested", before).
+	if n.Backoff > 0 {
+		until, before := noticeState.Backoff(now.Add(n.Backoff), now)
+		a.log.Info().Str("request", id.String()).Dur("rest", n.Backoff).Dur("left_out", until.Sub(now)).Bool("rested", before).
 			Msg("backend server asks for rest")
 	}
 	if n.Leaving && noticeState.Leave(notice.FromAnswer) {
@@ -78,7 +78,7 @@
 		}
 		noticeState := a.noticeState.Load()
 		_, leaving := noticeState.Leaving()
-		if !leaving && !clock.Now().Before(noticeState.RestsUntil()) || !a.engine.RefusesConnections(ctx) {
+		if !leaving && !clock.Now().Before(noticeState.BackoffUntil()) || !a.engine.RefusesConnections(ctx) {
 			continue
 		}
 		a.noticeState.Store(&notice.State{})
--- a/agent/server/server.go
+++ b/agent/server/server.go
@@ -135,7 +135,7 @@
 	a.pool = link.NewPool(a.local, a, nil, nil)
 	a.groups = group.NewSet(group.Environment{
 		VM: id, Incarnation: a.incarnation, Engine: a.engine, Pool: a.pool,
-		World: publishedConfig{a.config, a.vms}, Recorder: a.recorder, Log: log,
+		Directory: publishedConfig{a.config, a.vms}, Recorder: a.recorder, Log: log,
 	})
 	a.noticeState.Store(&notice.State{})
 	a.metrics = newMetrics(a)
@@ -162,8 +162,8 @@
 	return i
 }
 
-// Learn does nothing: the shape is part of the configuration.
-func (p publishedConfig) Learn(expertmap.Shape) {}
+// LearnShape does nothing: the shape is part of the configuration.
+func (p publishedConfig) LearnShape(expertmap.Shape) {}
 
 // Find returns a VM from the list, or one without an address if it is not listed.
 func (p publishedConfig) Find(id vm.ID) vm.VM {
@@ -258,7 +258,7 @@
 	case *wire.Call_Announce:
 		a.pull(ctx, from, body.Announce)
 	case *wire.Call_Pull:
-		reply := configuration.AnswerPull(body.Pull, a.config, a.vms)
+		reply := configuration.ReplyToPull(body.Pull, a.config, a.vms)
 		_ = s.SendReply(&wire.Reply{Body: &wire.Reply_Pull{Pull: reply}})
 	case *wire.Call_SwitchRelay:
 		err := a.groups.Relay(ctx, body.SwitchRelay, func(r *wire.SwitchRelayReply) error {
--- a/core/cluster/activity.go
+++ b/core/cluster/activity.go
@@ -156,7 +156,7 @@
 	t.monitoring.expireReports(now)
 	for _, address := range addresses {
 		p := t.peers[address]
-		if p == nil || !t.alive[address] || now.Sub(p.Heard) < silenceTimeout/2 {
+		if p == nil || !t.alive[address] || now.Sub(p.LastHeartbeat) < silenceTimeout/2 {
 			continue
 		}
 		confirmed := t.monitoring.enabled && t.confirmLoss(from, address, now)
--- a/core/cluster/attend.go
+++ b/core/cluster/attend.go
@@ -56,9 +56,9 @@
 	at       time.Time
 }
 
-// Attend makes the member monitor others and be monitored itself. It must be called before
+// EnableMonitoring makes the member monitor others and be monitored itself. It must be called before
 // all other methods.
-func (t *Table) Attend() {
+func (t *Table) EnableMonitoring() {
 	t.monitoring = monitoring{enabled: true, reports: make(map[string]lossReport)}
 }
 
@@ -155,10 +155,10 @@
 
 // silentSince returns the time since which a peer has been silent at its current interval.
 func (p *Peer) silentSince() time.Time {
-	if p.paired.After(p.Heard) {
+	if p.paired.After(p.LastHeartbeat) {
 		return p.paired
 	}
-	return p.Heard
+	return p.LastHeartbeat
 }
 
 // recordLoss records the loss of a peer that was detected here or accepted from reports.
--- a/core/cluster/heartbeat.go
+++ b/core/cluster/heartbeat.go
@@ -14,7 +14,7 @@
 		Vm: string(self.VM), Incarnation: uint64(self.Incarnation), Sequence: t.sequence, Zone: self.Zone,
 		Address: self.Address, Front: self.Front, Ready: self.Ready,
 		CatalogVersion: self.CatalogVersion, Retained: self.Retained, StoreFailing: self.StoreFailing,
-		BackendsEra: self.StoreChanged.Era, BackendsRevision: self.StoreChanged.Revision,
+		BackendsEra: self.StoreChanged.Term, BackendsRevision: self.StoreChanged.Revision,
 		Rank: self.Rank.wire(), Paces: t.slowdowns.report(now), Lost: t.reportedLost(now),
 		Found: self.Found[:min(len(self.Found), maxFound)], Active: self.Active, Millicores: self.Millicores, Arrivals: self.Arrivals,
 	}
@@ -27,7 +27,7 @@
 	if self.Limits != nil {
 		hb.Limits = self.Limits(now)
 	}
-	if answered := t.lastStoreAnswer(self.StoreHeard); !answered.IsZero() {
+	if answered := t.lastStoreAnswer(self.LastStoreAnswer); !answered.IsZero() {
 		hb.StoreAgeMs = 1 + uint32(math.Ceil(now.Sub(answered).Seconds()*1000)) // rounded up: a relayed age must never be too low
 	}
 	for server, l := range self.Load {
--- a/core/cluster/node.go
+++ b/core/cluster/node.go
@@ -169,16 +169,16 @@
 			}
 			continue
 		}
-		event.Dur("silent_for", clock.Since(c.Peer.Heard)).Msg("peer lost")
+		event.Dur("silent_for", clock.Since(c.Peer.LastHeartbeat)).Msg("peer lost")
 	}
 }
 
-// Attend makes the node monitor others and be monitored itself. It must be called before
+// EnableMonitoring makes the node monitor others and be monitored itself. It must be called before
 // Run.
-func (n *Node) Attend() {
+func (n *Node) EnableMonitoring() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.table.Attend()
+	n.table.EnableMonitoring()
 }
 
 // OnSuspects sets the function that is called with the suspects that a member reports. It
@@ -189,9 +189,9 @@
 // member reports. It must be called before Run.
 func (n *Node) OnLimits(f func(from vm.ID, limits []*wire.ServerLimit)) { n.onLimits = f }
 
-// OnMet sets the function that is called with each member that joined or was regained. The
+// OnPeerUp sets the function that is called with each member that joined or was regained. The
 // function must not block. OnMet must be called before Run.
-func (n *Node) OnMet(f func(Peer)) { n.onMet = f }
+func (n *Node) OnPeerUp(f func(Peer)) { n.onMet = f }
 
 // SetSeeds replaces the seeds.
 func (n *Node) SetSeeds(seeds []string) {
--- a/core/cluster/pace.go
+++ b/core/cluster/pace.go
@@ -17,11 +17,11 @@
 // several reports, as datagrams may be lost.
 const slowdownLifetime = 500 * time.Millisecond
 
-// Pace reports how slow a rank is.
-type Pace struct {
+// Slowdown reports how slow a rank is.
+type Slowdown struct {
 	Engine string // address of the backend server, IP:port
-	// Pace is the duration of a step relative to the usual duration.
-	Pace float64
+	// Slowdown is the duration of a step relative to the usual duration.
+	Slowdown float64
 	// Formed is when the rank's group was formed, or zero if it was not formed recently.
 	Formed time.Time
 }
@@ -113,9 +113,9 @@
 	}
 }
 
-// Pace fills out with the slowdowns of backend servers, by engine key and in the same
+// Slowdowns fills out with the slowdowns of backend servers, by engine key and in the same
 // order.
-func (n *Node) Pace(engines []uint32, out []float64) {
+func (n *Node) Slowdowns(engines []uint32, out []float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := clock.Now()
@@ -124,11 +124,11 @@
 	}
 }
 
-// TellPace reports a rank's slowdown to members. The sender does not become a member by
+// ReportSlowdown reports a rank's slowdown to members. The sender does not become a member by
 // it.
-func (n *Node) TellPace(members []string, p Pace) {
+func (n *Node) ReportSlowdown(members []string, p Slowdown) {
 	hb := &wire.Heartbeat{Paces: []*wire.RankPace{{
-		Engine: EngineKey(p.Engine), Percent: uint32(100 * p.Pace), FormedMs: formedMs(p.Formed, clock.Now()),
+		Engine: EngineKey(p.Engine), Percent: uint32(100 * p.Slowdown), FormedMs: formedMs(p.Formed, clock.Now()),
 	}}}
 	out := make([]Datagram, 0, len(members))
 	for _, address := range members {
--- a/core/cluster/table.go
+++ b/core/cluster/table.go
@@ -60,9 +60,9 @@
 	// Found lists backend servers, by key, that were recently found to accept requests
 	// again.
 	Found []uint32
-	// StoreHeard is when the store last answered this member, or zero if it never did.
+	// LastStoreAnswer is when the store last answered this member, or zero if it never did.
 	// Heartbeats carry the latest answer to this member or to any live peer.
-	StoreHeard time.Time
+	LastStoreAnswer time.Time
 	// StoreFailing reports that the store does not answer this member.
 	StoreFailing bool
 	// Retained is the digest of the state that this member has in a newer version than the
@@ -110,19 +110,19 @@
 
 // Peer is the latest state received from another member.
 type Peer struct {
-	VM             vm.ID
-	Incarnation    vm.Incarnation
-	Zone           string
-	Address        string
-	Front          string
-	Ready          bool
-	CatalogVersion uint64
-	StoreChanged   source.Position // latest change of the store known to the peer
-	StoreHeard     time.Time       // when the store last answered the peer or a member that it receives heartbeats from; zero = unknown
-	StoreFailing   bool            // whether the store does not answer the peer
-	Retained       uint64          // digest of the state that it has in a newer version than the store, 0 = none
-	Rank           *RankLabel
-	Heard          time.Time
+	VM              vm.ID
+	Incarnation     vm.Incarnation
+	Zone            string
+	Address         string
+	Front           string
+	Ready           bool
+	CatalogVersion  uint64
+	StoreChanged    source.Position // latest change of the store known to the peer
+	LastStoreAnswer time.Time       // when the store last answered the peer or a member that it receives heartbeats from; zero = unknown
+	StoreFailing    bool            // whether the store does not answer the peer
+	Retained        uint64          // digest of the state that it has in a newer version than the store, 0 = none
+	Rank            *RankLabel
+	LastHeartbeat   time.Time
 	Activity
 
 	sequence   uint64
@@ -282,7 +282,7 @@
 	if p != nil && !joined && hb.GetSequence() <= p.sequence {
 		return nil
 	}
-	if p != nil && vm.Incarnation(hb.GetIncarnation()) < p.Incarnation && now.Sub(p.Heard) < silenceTimeout {
+	if p != nil && vm.Incarnation(hb.GetIncarnation()) < p.Incarnation && now.Sub(p.LastHeartbeat) < silenceTimeout {
 		return nil // delayed datagram of an earlier process
 	}
 	next := t.replacePeer(p, hb, now)
@@ -307,16 +307,16 @@
 		VM: vm.ID(hb.GetVm()), Incarnation: vm.Incarnation(hb.GetIncarnation()), Zone: hb.GetZone(),
 		Address: hb.GetAddress(), Front: hb.GetFront(), Ready: hb.GetReady(),
 		CatalogVersion: hb.GetCatalogVersion(), Retained: hb.GetRetained(), StoreFailing: hb.GetStoreFailing(),
-		StoreChanged: source.Position{Era: hb.GetBackendsEra(), Revision: hb.GetBackendsRevision()},
-		Rank:         rankFromWire(hb.GetRank()), Heard: now, sequence: hb.GetSequence(), load: make(map[uint32]Load, len(hb.GetInFlight())),
+		StoreChanged: source.Position{Term: hb.GetBackendsEra(), Revision: hb.GetBackendsRevision()},
+		Rank:         rankFromWire(hb.GetRank()), LastHeartbeat: now, sequence: hb.GetSequence(), load: make(map[uint32]Load, len(hb.GetInFlight())),
 		Activity: Activity{Active: hb.GetActive(), Millicores: hb.GetMillicores(), Arrivals: hb.GetArrivals()},
 	}
 	if age := hb.GetStoreAgeMs(); age > 0 {
-		next.StoreHeard = now.Add(-time.Duration(age-1) * time.Millisecond)
+		next.LastStoreAnswer = now.Add(-time.Duration(age-1) * time.Millisecond)
 	}
 	if old != nil {
 		next.sent, next.hash, next.paired = old.sent, old.hash, old.paired
-		early := !t.alive[next.Address] || now.Sub(old.Heard) < t.expectedInterval(old)/earlyDivisor
+		early := !t.alive[next.Address] || now.Sub(old.LastHeartbeat) < t.expectedInterval(old)/earlyDivisor
 		next.sendsEarly = early && t.own.Active && !next.Active
 		t.monitoring.stale = t.monitoring.stale || old.Active != next.Active
 		t.subtractLoad(old)
@@ -365,7 +365,7 @@
 			out = append(out, t.markLost(p))
 			t.recordLoss(p, now)
 		}
-		if now.Sub(p.Heard) > forgetAfter && !t.alive[address] {
+		if now.Sub(p.LastHeartbeat) > forgetAfter && !t.alive[address] {
 			delete(t.peers, address)
 		}
 	}
@@ -416,8 +416,8 @@
 // far as known.
 func (t *Table) lastStoreAnswer(own time.Time) time.Time {
 	for address := range t.alive {
-		if p := t.peers[address]; p.StoreHeard.After(own) {
-			own = p.StoreHeard
+		if p := t.peers[address]; p.LastStoreAnswer.After(own) {
+			own = p.LastStoreAnswer
 		}
 	}
 	return own
--- a/core/cluster/table_test.go
+++ b/core/cluster/table_test.go
@@ -29,7 +29,7 @@
 	}
 	for _, a := range addresses {
 		f.tables[a] = NewTable(a, seeds, DefaultPerPeer)
-		f.tables[a].Attend()
+		f.tables[a].EnableMonitoring()
 		f.selves[a] = Self{
 			VM: vm.ID(a), Incarnation: 1, Address: a, Front: "front-" + a, Ready: true, Activity: Activity{Active: true},
 		}
--- a/core/configuration/authorize.go
+++ b/core/configuration/authorize.go
@@ -38,7 +38,7 @@
 	for _, c := range changes {
 		kind, reason := timeline.KindConfig, ""
 		if c.RejectedRevision > c.Revision {
-			kind, reason = timeline.KindConfigRefused, c.RejectedReason
+			kind, reason = timeline.KindConfigRejected, c.RejectedReason
 		}
 		r.Record(timeline.Event{Kind: kind, Subject: c.Key.String(), Reason: reason})
 	}
--- a/core/configuration/store_test.go
+++ b/core/configuration/store_test.go
@@ -49,7 +49,7 @@
 	is := is.New(t)
 	a, b := NewStore(false), NewStore(false)
 	vmsA, vmsB := NewVMs(), NewVMs()
-	exchange := func() { ApplyPull(AnswerPull(NewPull(b, vmsB), a, vmsA), b, vmsB) }
+	exchange := func() { ApplyPull(ReplyToPull(NewPull(b, vmsB), a, vmsA), b, vmsB) }
 	a.Apply(Batch{Revision: 1, Full: true, Records: []Record{team("a", 1, 1), team("b", 1, 1)}})
 	exchange()
 	is.Equal(len(b.Select(resource.KindTeam)), 2)
@@ -129,7 +129,7 @@
 				}
 			} else {
 				j := rapid.IntRange(0, len(stores)-1).Draw(t, "peer")
-				ApplyPull(AnswerPull(NewPull(stores[i], vms), stores[j], vms), stores[i], vms)
+				ApplyPull(ReplyToPull(NewPull(stores[i], vms), stores[j], vms), stores[i], vms)
 			}
 			check(i)
 		}
@@ -141,7 +141,7 @@
 		for range 2 {
 			for i := range stores {
 				for j := range stores {
-					ApplyPull(AnswerPull(NewPull(stores[i], vms), stores[j], vms), stores[i], vms)
+					ApplyPull(ReplyToPull(NewPull(stores[i], vms), stores[j], vms), stores[i], vms)
 					check(i)
 				}
 			}
--- a/core/configuration/wire.go
+++ b/core/configuration/wire.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// AnswerPull builds the reply to a peer's Pull from the stores of this process.
-func AnswerPull(p *wire.Pull, store *Store, vms *VMs) *wire.PullReply {
+// ReplyToPull builds the reply to a peer's Pull from the stores of this process.
+func ReplyToPull(p *wire.Pull, store *Store, vms *VMs) *wire.PullReply {
 	digests := store.Digest()
 	digest := digests.Core
 	if !p.GetWithoutTeams() {
--- a/core/expertmap/demand.go
+++ b/core/expertmap/demand.go
@@ -97,20 +97,20 @@
 	defaultInterval = 4 * time.Second
 )
 
-// Lifetime estimates how long the present demand will last, from the intervals between
+// DemandLifetime estimates how long the present demand will last, from the intervals between
 // its changes.
-type Lifetime struct {
+type DemandLifetime struct {
 	changed  time.Time     // time of the latest change
 	observed bool          // a change was observed
 	mean     time.Duration // interval between changes, 0 = not yet observed
 }
 
-// NewLifetime returns the estimate of a group whose demand is observed for the first
+// NewDemandLifetime returns the estimate of a group whose demand is observed for the first
 // time.
-func NewLifetime(now time.Time) *Lifetime { return &Lifetime{changed: now} }
+func NewDemandLifetime(now time.Time) *DemandLifetime { return &DemandLifetime{changed: now} }
 
 // Changed records a change of the demand.
-func (l *Lifetime) Changed(now time.Time) {
+func (l *DemandLifetime) Changed(now time.Time) {
 	interval := now.Sub(l.changed)
 	if interval < mergeTime {
 		return
@@ -126,8 +126,8 @@
 	l.mean += time.Duration(intervalWeight * float64(interval-l.mean))
 }
 
-// Rest returns for how much longer the present demand is expected to last.
-func (l *Lifetime) Rest(now time.Time) time.Duration {
+// Remaining returns for how much longer the present demand is expected to last.
+func (l *DemandLifetime) Remaining(now time.Time) time.Duration {
 	age := now.Sub(l.changed)
 	mean := max(l.mean, age)
 	if l.mean == 0 {
--- a/core/expertmap/demand_test.go
+++ b/core/expertmap/demand_test.go
@@ -47,17 +47,17 @@
 func TestLifetimeEstimatesRemainingTime(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(0, 0)
-	l := NewLifetime(start)
-	is.Equal(l.Rest(start.Add(time.Second)), defaultInterval-time.Second) // a new coordinator does not wait
-	is.Equal(l.Rest(start.Add(8*time.Second)), 2*time.Second)             // only its age is known
+	l := NewDemandLifetime(start)
+	is.Equal(l.Remaining(start.Add(time.Second)), defaultInterval-time.Second) // a new coordinator does not wait
+	is.Equal(l.Remaining(start.Add(8*time.Second)), 2*time.Second)             // only its age is known
 	for i := 1; i <= 20; i++ {
 		l.Changed(start.Add(time.Duration(i) * 4 * time.Second))
 		l.Changed(start.Add(time.Duration(i)*4*time.Second + 100*time.Millisecond)) // further layers
 	}
 	at := start.Add(80 * time.Second)
-	is.Equal(l.Rest(at.Add(time.Second)).Round(100*time.Millisecond), 3*time.Second)
-	is.Equal(l.Rest(at.Add(3900*time.Millisecond)).Round(100*time.Millisecond), time.Second)
-	is.True(l.Rest(at.Add(time.Minute)) > 14*time.Second) // the demand has not changed for long
+	is.Equal(l.Remaining(at.Add(time.Second)).Round(100*time.Millisecond), 3*time.Second)
+	is.Equal(l.Remaining(at.Add(3900*time.Millisecond)).Round(100*time.Millisecond), time.Second)
+	is.True(l.Remaining(at.Add(time.Minute)) > 14*time.Second) // the demand has not changed for long
 }
 
 // A coordinator that waited ten seconds for the first requests must not count that time
@@ -65,10 +65,10 @@
 func TestFirstChangeIsNotCountedAsAnInterval(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(0, 0)
-	l := NewLifetime(start)
+	l := NewDemandLifetime(start)
 	at := start.Add(10 * time.Second)
 	l.Changed(at)
-	is.Equal(l.Rest(at.Add(time.Second)), defaultInterval-time.Second)
+	is.Equal(l.Remaining(at.Add(time.Second)), defaultInterval-time.Second)
 	l.Changed(at.Add(3 * time.Second))
-	is.Equal(l.Rest(at.Add(4*time.Second)), 2*time.Second)
+	is.Equal(l.Remaining(at.Add(4*time.Second)), 2*time.Second)
 }
--- a/core/expertmap/expertmap.go
+++ b/core/expertmap/expertmap.go
@@ -51,7 +51,7 @@
 			rank, slot := i%s.Ranks, i/s.Ranks
 			expert := i
 			if i >= s.Experts {
-				expert = Fill(i-s.Experts, s)
+				expert = SpareExpert(i-s.Experts, s)
 			}
 			slots[rank*s.Slots+slot] = int32(expert)
 		}
@@ -60,9 +60,9 @@
 	return m, nil
 }
 
-// InTurn returns the map that holds each expert once, assigned to the ranks round-robin.
+// RoundRobin returns the map that holds each expert once, assigned to the ranks round-robin.
 // Spare slots are empty.
-func InTurn(s Shape) Map {
+func RoundRobin(s Shape) Map {
 	m := Map{Layers: make([][]int32, s.Layers)}
 	for l := range m.Layers {
 		slots := make([]int32, s.Ranks*s.Slots)
@@ -78,8 +78,8 @@
 	return m
 }
 
-// Fill returns the expert of the n-th spare slot of an initial map.
-func Fill(n int, s Shape) int { return (n + s.Ranks/2) % s.Experts }
+// SpareExpert returns the expert of the n-th spare slot of an initial map.
+func SpareExpert(n int, s Shape) int { return (n + s.Ranks/2) % s.Experts }
 
 // Validate checks that the map has the shape and places every expert in every layer.
 func (m Map) Validate(s Shape) error {
--- a/core/link/link_test.go
+++ b/core/link/link_test.go
@@ -159,8 +159,8 @@
 	defer p.Close()
 	_, err := p.Get(t.Context(), vm.VM{ID: "b", Link: listen(t, nil, &echoHandler{})})
 	is.NoErr(err)
-	p.Trim(time.Now().Add(-time.Hour))
+	p.CloseIdle(time.Now().Add(-time.Hour))
 	is.Equal(len(p.Links()), 1)
-	p.Trim(time.Now().Add(time.Hour))
+	p.CloseIdle(time.Now().Add(time.Hour))
 	is.Equal(len(p.Links()), 0)
 }
--- a/core/link/pool.go
+++ b/core/link/pool.go
@@ -101,8 +101,8 @@
 	}()
 }
 
-// Open returns the open link to a VM if there is one; it does not dial.
-func (p *Pool) Open(id vm.ID) (*Link, bool) {
+// Lookup returns the open link to a VM if there is one; it does not dial.
+func (p *Pool) Lookup(id vm.ID) (*Link, bool) {
 	s := p.slot(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,10 +128,10 @@
 	}
 }
 
-// Trim closes the links that Get has not returned since the given time. Each link costs
+// CloseIdle closes the links that Get has not returned since the given time. Each link costs
 // both sides some tens of kilobytes, so links that are used only occasionally must not
 // accumulate until there is one per VM.
-func (p *Pool) Trim(since time.Time) {
+func (p *Pool) CloseIdle(since time.Time) {
 	for _, s := range p.all() {
 		s.mu.Lock()
 		if s.link != nil && s.lastUsed.Before(since) {
--- a/core/notice/parse.go
+++ b/core/notice/parse.go
@@ -23,11 +23,11 @@
 	maxTextLength = 64
 )
 
-// ParseRest parses the values of a Retry-After field: decimal seconds without sign or
+// ParseRetryAfter parses the values of a Retry-After field: decimal seconds without sign or
 // exponent, or an HTTP date. A date is relative to the answer's Date field, or to now if
 // there is none. If there are several values, the longest valid one counts, and the error
 // describes an invalid one. Zero and a date in the past ask for no backoff.
-func ParseRest(values []string, date string, now time.Time) (time.Duration, error) {
+func ParseRetryAfter(values []string, date string, now time.Time) (time.Duration, error) {
 	var longest time.Duration
 	var invalid error
 	for _, text := range splitRetryAfter(values) {
@@ -90,7 +90,7 @@
 	n.Limit, errs[0] = ratelimit.Parse(h.Values(f.Limit))
 	n.Leaving, errs[1] = ParseLeaving(h.Values(f.Leaving))
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		n.Rest, errs[2] = ParseRest(h.Values("Retry-After"), h.Get("Date"), now)
+		n.Backoff, errs[2] = ParseRetryAfter(h.Values("Retry-After"), h.Get("Date"), now)
 	}
 	return n, errors.Join(errs[:]...)
 }
--- a/core/notice/parse_test.go
+++ b/core/notice/parse_test.go
@@ -56,7 +56,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			backoff, err := ParseRest(c.values, c.date, now)
+			backoff, err := ParseRetryAfter(c.values, c.date, now)
 			is.Equal(backoff, c.want)
 			is.Equal(err != nil, c.fails)
 		})
@@ -94,11 +94,11 @@
 		f.Add(seed, "2", serversDate)
 	}
 	f.Fuzz(func(t *testing.T, first, second, date string) {
-		backoff, err := ParseRest([]string{first, second}, date, now)
+		backoff, err := ParseRetryAfter([]string{first, second}, date, now)
 		if backoff < 0 || backoff > MaxBackoff {
 			t.Fatalf("%q, %q at %q: %s, %v", first, second, date, backoff, err)
 		}
-		if longer, _ := ParseRest([]string{first, second, "86400"}, date, now); longer != MaxBackoff {
+		if longer, _ := ParseRetryAfter([]string{first, second, "86400"}, date, now); longer != MaxBackoff {
 			t.Fatalf("%q, %q mask a longer backoff: %s", first, second, longer)
 		}
 	})
--- a/core/notice/state.go
+++ b/core/notice/state.go
@@ -24,9 +24,9 @@
 	FromAnswer Source = "answer"
 )
 
-// Rest records that the server requested a backoff until the given time. It returns the
+// Backoff records that the server requested a backoff until the given time. It returns the
 // end of the server's backoff, and whether one was in effect before.
-func (s *State) Rest(until, now time.Time) (end time.Time, active bool) {
+func (s *State) Backoff(until, now time.Time) (end time.Time, active bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	active = now.Before(s.backoffUntil)
@@ -36,9 +36,9 @@
 	return s.backoffUntil, active
 }
 
-// RestsUntil returns the end of the server's backoff. It is in the past if none is in
+// BackoffUntil returns the end of the server's backoff. It is in the past if none is in
 // effect.
-func (s *State) RestsUntil() time.Time {
+func (s *State) BackoffUntil() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.backoffUntil
--- a/core/notice/state_test.go
+++ b/core/notice/state_test.go
@@ -21,8 +21,8 @@
 			if until.After(latest) {
 				latest = until
 			}
-			end, active := s.Rest(until, at)
-			if !end.Equal(latest) || !s.RestsUntil().Equal(latest) {
+			end, active := s.Backoff(until, at)
+			if !end.Equal(latest) || !s.BackoffUntil().Equal(latest) {
 				t.Fatalf("backoff until %v, requested until %v", end, latest)
 			}
 			if active != at.Before(before) {
@@ -51,7 +51,7 @@
 	is := is.New(t)
 	table := NewTable()
 	table.Of(1).Leave(FromEntry)
-	table.Of(2).Rest(now.Add(stateRetention+time.Minute), now)
+	table.Of(2).Backoff(now.Add(stateRetention+time.Minute), now)
 	table.Of(3).Leave(FromEntry)
 	table.Unlist(1, now)
 	table.Unlist(2, now)
--- a/core/notice/table.go
+++ b/core/notice/table.go
@@ -50,7 +50,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for server, s := range t.states {
-		if !s.unlistedSince.IsZero() && now.Sub(s.unlistedSince) >= stateRetention && !now.Before(s.RestsUntil()) {
+		if !s.unlistedSince.IsZero() && now.Sub(s.unlistedSince) >= stateRetention && !now.Before(s.BackoffUntil()) {
 			delete(t.states, server)
 		}
 	}
--- a/core/notice/told_test.go
+++ b/core/notice/told_test.go
@@ -63,7 +63,7 @@
 	address := func(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/200, i%200) }
 	for i := range n {
 		m := &simMember{table: cluster.NewTable(address(i), []string{address(0), address(1), address(2)}, cluster.DefaultPerPeer)}
-		m.table.Attend()
+		m.table.EnableMonitoring()
 		m.self = cluster.Self{VM: vm.ID(fmt.Sprint("vm", i)), Incarnation: 1, Zone: fmt.Sprintf("z%d", i%3), Address: address(i), Front: "f", Ready: true}
 		m.self.Active = n < 100 || i%10 == 0
 		m.views = make([]simView, len(scenarios))
@@ -99,13 +99,13 @@
 // result.
 func (v *simView) request(s scenario, refused bool, end, now time.Time) {
 	switch {
-	case now.Before(v.state.RestsUntil()):
+	case now.Before(v.state.BackoffUntil()):
 	case s.share && v.knows && refused:
 	case s.share && v.knows:
 		v.idle++
 	case refused:
 		v.refusals++
-		v.state.Rest(end, now)
+		v.state.Backoff(end, now)
 		v.knows = true
 	}
 }
--- a/core/ratelimit/fleet_load_test.go
+++ b/core/ratelimit/fleet_load_test.go
@@ -110,15 +110,15 @@
 		s.reportedAt = now
 	}
 	s.got = append(s.got, arrival{at: now, excluded: now.Sub(g.disturbed) < f.convergence || g.frozen})
-	reported := Said{Kind: SaidNone}
+	reported := Report{Kind: LimitNone}
 	if s.limit > 0 {
-		reported = Said{Kind: SaidLimit, Limit: s.limit}
+		reported = Report{Kind: LimitSet, Limit: s.limit}
 	}
 	f.mu.Unlock()
 	wait.Sleep(f.ctx, answerTime+hop)
 	g.waitWhileFrozen()
 	if get(f, &g.began) == began {
-		limits.Heard(s.key, reported, sent, clock.Now())
+		limits.Record(s.key, reported, sent, clock.Now())
 	}
 }
 
--- a/core/ratelimit/fleet_test.go
+++ b/core/ratelimit/fleet_test.go
@@ -136,7 +136,7 @@
 	g.down = false
 	g.began++
 	g.table = cluster.NewTable(g.address, []string{address(0), address(1), address(2)}, cluster.DefaultPerPeer)
-	g.table.Attend()
+	g.table.EnableMonitoring()
 	g.limits = NewTable(func(Key) string { return "" }, zerolog.Nop())
 	g.gate = NewGate(g.limits, g)
 	g.parts = make(map[Key]*rate.Limiter)
@@ -194,7 +194,7 @@
 	g.queued = nil
 	self := cluster.Self{
 		VM: vm.ID(g.name), Incarnation: g.began, Zone: fmt.Sprint(g.zone), Address: g.address, Front: "f", Ready: true,
-		Limits: limits.Told, Activity: cluster.Activity{Active: g.active},
+		Limits: limits.Report, Activity: cluster.Activity{Active: g.active},
 	}
 	out, _ := g.table.Tick(self, f.rnd, clock.Now())
 	for _, d := range out {
@@ -220,7 +220,7 @@
 
 // handleHeartbeat processes a heartbeat. The caller holds the fleet's lock.
 func (g *simGateway) handleHeartbeat(hb *wire.Heartbeat) {
-	g.limits.Hear(vm.ID(hb.GetVm()), hb.GetLimits(), clock.Now())
+	g.limits.ReceiveLimits(vm.ID(hb.GetVm()), hb.GetLimits(), clock.Now())
 	g.table.Receive(hb, clock.Now())
 }
 
@@ -252,8 +252,8 @@
 	return best
 }
 
-// Part implements Network.
-func (g *simGateway) Part() float64 {
+// ReachableFraction implements Network.
+func (g *simGateway) ReachableFraction() float64 {
 	g.fleet.mu.Lock()
 	defer g.fleet.mu.Unlock()
 	return g.table.Reached()
@@ -261,10 +261,10 @@
 
 var errSilent = errors.New("no answer")
 
-// Ask implements Network.
-func (g *simGateway) Ask(ctx context.Context, grantor vm.ID, s Statement) (Grant, error) {
+// RequestPermit implements Network.
+func (g *simGateway) RequestPermit(ctx context.Context, grantor vm.ID, s Observation) (Grant, error) {
 	f := g.fleet
-	encoded := s.AskToWire(clock.Now())
+	encoded := s.PermitRequestToWire(clock.Now())
 	if !wait.Sleep(ctx, hop) {
 		return Grant{}, errSilent
 	}
--- a/core/ratelimit/gate.go
+++ b/core/ratelimit/gate.go
@@ -30,11 +30,11 @@
 	// Grantor returns the gateway that grants permits for a server in the view of this
 	// process, and whether that is this process. known is false if there is none.
 	Grantor(server Key) (id vm.ID, own, known bool)
-	// Part returns the fraction of the possibly active gateways that this process reaches,
+	// ReachableFraction returns the fraction of the possibly active gateways that this process reaches,
 	// itself included, see FleetView.
-	Part() float64
-	// Ask requests a permit from another gateway.
-	Ask(ctx context.Context, grantor vm.ID, s Statement) (Grant, error)
+	ReachableFraction() float64
+	// RequestPermit requests a permit from another gateway.
+	RequestPermit(ctx context.Context, grantor vm.ID, s Observation) (Grant, error)
 }
 
 // Gate admits each request to a backend server at the moment of sending. It is safe for
@@ -75,10 +75,10 @@
 
 // Opens returns when a request may next be tried at a server with a limit, and the limit.
 // limited is false if the server has none.
-func (g *Gate) Opens(server Key) (at time.Time, limit Known, limited bool) {
+func (g *Gate) Opens(server Key) (at time.Time, limit KnownLimit, limited bool) {
 	limit, limited = g.table.Get(server)
 	if !limited {
-		return time.Time{}, Known{}, false
+		return time.Time{}, KnownLimit{}, false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -99,7 +99,7 @@
 		started, wait := g.startRequest(server)
 		switch {
 		case started != nil:
-			return g.requestPermit(ctx, started, limit.Statement)
+			return g.requestPermit(ctx, started, limit.Observation)
 		case wait == nil:
 			return ErrClosed
 		}
@@ -133,7 +133,7 @@
 }
 
 // requestPermit requests one permit.
-func (g *Gate) requestPermit(ctx context.Context, s *serverState, limit Statement) error {
+func (g *Gate) requestPermit(ctx context.Context, s *serverState, limit Observation) error {
 	grant, answered := g.requestFromGrantor(ctx, limit)
 	switch {
 	case !answered:
@@ -156,7 +156,7 @@
 	return nil
 }
 
-func (g *Gate) requestFromGrantor(ctx context.Context, limit Statement) (grant Grant, answered bool) {
+func (g *Gate) requestFromGrantor(ctx context.Context, limit Observation) (grant Grant, answered bool) {
 	id, own, known := g.net.Grantor(limit.Server)
 	if !known {
 		return Grant{Wait: unansweredBackoff}, false
@@ -167,7 +167,7 @@
 	// Other callers share the exchange, so it must not end when this caller leaves.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), permitTimeout)
 	defer cancel()
-	grant, err := g.net.Ask(ctx, id, limit)
+	grant, err := g.net.RequestPermit(ctx, id, limit)
 	if err != nil {
 		return Grant{Wait: unansweredBackoff}, false
 	}
@@ -176,19 +176,19 @@
 
 // Grant answers a permit request. It uses this process's own observation of the limit if
 // that is newer.
-func (g *Gate) Grant(requested Statement) Grant {
+func (g *Gate) Grant(requested Observation) Grant {
 	limit, ok := g.table.Latest(requested.Server)
-	if !ok || requested.supersedes(limit.Statement) {
-		limit.Statement = requested
+	if !ok || requested.supersedes(limit.Observation) {
+		limit.Observation = requested
 	}
 	if !limit.Limited {
 		return Grant{Granted: true} // the requester does not know yet that the limit ended
 	}
 	_, own, known := g.net.Grantor(requested.Server)
-	part := g.net.Part()
+	part := g.net.ReachableFraction()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.grantor.Handle(limit, FleetView{IsGrantor: known && own, Part: part}, clock.Now())
+	return g.grantor.Handle(limit, FleetView{IsGrantor: known && own, ReachableFraction: part}, clock.Now())
 }
 
 // Expire removes the state of servers that no longer have a limit, and the buckets of
--- a/core/ratelimit/gate_test.go
+++ b/core/ratelimit/gate_test.go
@@ -21,15 +21,15 @@
 }
 
 func (n *fakeNetwork) Grantor(Key) (vm.ID, bool, bool) { return "g", n.own, !n.unknown }
-func (n *fakeNetwork) Part() float64                   { return 1 }
-func (n *fakeNetwork) Ask(ctx context.Context, _ vm.ID, _ Statement) (Grant, error) {
+func (n *fakeNetwork) ReachableFraction() float64      { return 1 }
+func (n *fakeNetwork) RequestPermit(ctx context.Context, _ vm.ID, _ Observation) (Grant, error) {
 	return n.requestPermit(ctx)
 }
 
 func newTestGate(n *fakeNetwork, limit float64) *Gate {
 	table := newTestTable()
 	now := clock.Now()
-	table.Heard(1, limitedTo(limit), now, now)
+	table.Record(1, limitedTo(limit), now, now)
 	return NewGate(table, n)
 }
 
@@ -99,11 +99,11 @@
 	is := is.New(t)
 	g := newTestGate(&fakeNetwork{own: true}, 1)
 	now := clock.Now()
-	is.True(!g.Grant(Statement{Server: 1, Limit: 1, Limited: true, At: now.Add(-time.Second)}).Granted) // before settleTime has passed
-	g.table.Heard(1, unlimited, now.Add(time.Second), now)
-	is.True(g.Grant(Statement{Server: 1, Limit: 1, Limited: true, At: now}).Granted)
+	is.True(!g.Grant(Observation{Server: 1, Limit: 1, Limited: true, At: now.Add(-time.Second)}).Granted) // before settleTime has passed
+	g.table.Record(1, unlimited, now.Add(time.Second), now)
+	is.True(g.Grant(Observation{Server: 1, Limit: 1, Limited: true, At: now}).Granted)
 	g = newTestGate(&fakeNetwork{own: false}, 1)
-	is.True(g.Grant(Statement{Server: 1, Limit: 1, Limited: true, At: now}).Elsewhere)
+	is.True(g.Grant(Observation{Server: 1, Limit: 1, Limited: true, At: now}).Elsewhere)
 }
 
 func BenchmarkTakeWithoutALimit(b *testing.B) {
@@ -124,7 +124,7 @@
 	g := newTestGate(&fakeNetwork{own: true}, 1)
 	limit, _ := g.table.Get(1)
 	for b.Loop() {
-		_ = g.Grant(limit.Statement)
+		_ = g.Grant(limit.Observation)
 	}
 }
 
@@ -132,11 +132,11 @@
 	table := newTestTable()
 	now := clock.Now()
 	for i := range 30 {
-		table.Heard(Key(i), limitedTo(1), now, now)
+		table.Record(Key(i), limitedTo(1), now, now)
 	}
 	now = now.Add(2 * freshTime)
 	for b.Loop() {
-		_ = table.Told(now)
+		_ = table.Report(now)
 	}
 }
 
--- a/core/ratelimit/grantor.go
+++ b/core/ratelimit/grantor.go
@@ -39,9 +39,9 @@
 type FleetView struct {
 	// IsGrantor reports whether this process is the grantor for the server.
 	IsGrantor bool
-	// Part is the fraction of the active gateways that this process reaches, itself
+	// ReachableFraction is the fraction of the active gateways that this process reaches, itself
 	// included, of all that may be active: above 0, at most 1.
-	Part float64
+	ReachableFraction float64
 }
 
 // Grant is the reply to a permit request.
@@ -69,12 +69,12 @@
 func NewGrantor() *Grantor { return &Grantor{buckets: make(map[Key]*bucket)} }
 
 // Handle answers a permit request for a server with a limit.
-func (g *Grantor) Handle(s Known, f FleetView, now time.Time) Grant {
+func (g *Grantor) Handle(s KnownLimit, f FleetView, now time.Time) Grant {
 	if !f.IsGrantor {
 		delete(g.buckets, s.Server)
 		return Grant{Wait: notGrantorBackoff, Elsewhere: true}
 	}
-	perSecond := s.rate() * f.Part
+	perSecond := s.rate() * f.ReachableFraction
 	b := g.bucket(s, perSecond, now)
 	b.lastRequest = now
 	if now.Before(b.opensAt) {
@@ -87,7 +87,7 @@
 	return Grant{Wait: b.wait(perSecond, now)}
 }
 
-func (g *Grantor) bucket(s Known, perSecond float64, now time.Time) *bucket {
+func (g *Grantor) bucket(s KnownLimit, perSecond float64, now time.Time) *bucket {
 	b := g.buckets[s.Server]
 	if b != nil && now.Sub(b.lastRequest) < idleTimeout {
 		return b
--- a/core/ratelimit/grantor_test.go
+++ b/core/ratelimit/grantor_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-func limitOf(perSecond float64) Known {
-	return Known{Statement: Statement{Server: 1, Limit: perSecond, Limited: true}}
+func limitOf(perSecond float64) KnownLimit {
+	return KnownLimit{Observation: Observation{Server: 1, Limit: perSecond, Limited: true}}
 }
 
-var whole = FleetView{IsGrantor: true, Part: 1}
+var whole = FleetView{IsGrantor: true, ReachableFraction: 1}
 
 // grants requests permits at an interval for a time and returns the number of permits
 // granted.
-func grants(g *Grantor, k Known, f FleetView, from time.Time, every, d time.Duration) int {
+func grants(g *Grantor, k KnownLimit, f FleetView, from time.Time, every, d time.Duration) int {
 	n := 0
 	for at := time.Duration(0); at < d; at += every {
 		if g.Handle(k, f, from.Add(at)).Granted {
@@ -40,7 +40,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			n := grants(NewGrantor(), limitOf(c.limit), FleetView{IsGrantor: true, Part: c.part}, time.Unix(1000, 0), 10*time.Millisecond, 12*time.Second)
+			n := grants(NewGrantor(), limitOf(c.limit), FleetView{IsGrantor: true, ReachableFraction: c.part}, time.Unix(1000, 0), 10*time.Millisecond, 12*time.Second)
 			if n < c.want-1 || n > c.want+1 {
 				t.Errorf("%d permits, about %d expected", n, c.want)
 			}
@@ -56,7 +56,7 @@
 	is.Equal(grants(g, limitOf(20), whole, now, 10*time.Millisecond, settleTime), 0)
 	is.True(grants(g, limitOf(20), whole, now.Add(settleTime), 10*time.Millisecond, time.Second) > 0)
 	now = now.Add(5 * time.Second)
-	is.True(g.Handle(limitOf(20), FleetView{IsGrantor: false, Part: 1}, now).Elsewhere)
+	is.True(g.Handle(limitOf(20), FleetView{IsGrantor: false, ReachableFraction: 1}, now).Elsewhere)
 	is.Equal(grants(g, limitOf(20), whole, now, 10*time.Millisecond, settleTime), 0) // it became the grantor again
 }
 
@@ -104,7 +104,7 @@
 		for range rapid.IntRange(1, 400).Draw(t, "asks") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(t, "pause")))
 			k := limitOf(limit * rapid.Float64Range(0, 1).Draw(t, "part of the limit"))
-			f := FleetView{IsGrantor: rapid.IntRange(0, 50).Draw(t, "first") > 0, Part: rapid.Float64Range(0.1, 1).Draw(t, "part")}
+			f := FleetView{IsGrantor: rapid.IntRange(0, 50).Draw(t, "first") > 0, ReachableFraction: rapid.Float64Range(0.1, 1).Draw(t, "part")}
 			if g.Handle(k, f, now).Granted {
 				granted = append(granted, now)
 			}
--- a/core/ratelimit/impose.go
+++ b/core/ratelimit/impose.go
@@ -17,7 +17,7 @@
 // their own, so it is not sent to others. It holds until the given time, or until a later
 // time if it is imposed again.
 func (t *Table) Impose(server Key, limit float64, until, now time.Time) {
-	t.apply(Statement{Server: server, Limit: limit, Limited: true, At: now, until: until}, sourceImposed, now)
+	t.apply(Observation{Server: server, Limit: limit, Limited: true, At: now, until: until}, sourceImposed, now)
 }
 
 // Lift ends the imposed limits that have expired and returns their servers.
@@ -34,7 +34,7 @@
 	}
 	t.mu.Unlock()
 	for _, server := range expired {
-		t.apply(Statement{Server: server, At: now}, sourceImposed, now)
+		t.apply(Observation{Server: server, At: now}, sourceImposed, now)
 	}
 	return expired
 }
--- a/core/ratelimit/impose_test.go
+++ b/core/ratelimit/impose_test.go
@@ -17,7 +17,7 @@
 	limit, limited := table.Get(1)
 	is.True(limited)
 	is.Equal(limit.Limit, 5.0)
-	is.Equal(len(table.Told(now)), 0) // every process imposes it on its own
+	is.Equal(len(table.Report(now)), 0) // every process imposes it on its own
 	is.Equal(len(table.Lift(now.Add(2*time.Second))), 0)
 	later := now.Add(2 * time.Second)
 	table.Impose(1, 5, later.Add(3*time.Second), later) // the server is cold again
@@ -25,7 +25,7 @@
 	is.Equal(table.Lift(now.Add(5*time.Second)), []Key{1})
 	_, limited = table.Get(1)
 	is.True(!limited)
-	is.Equal(len(table.Told(now.Add(5*time.Second))), 0)
+	is.Equal(len(table.Report(now.Add(5*time.Second))), 0)
 	is.Equal(table.Limited(), 0)
 }
 
@@ -34,7 +34,7 @@
 	is := is.New(t)
 	table, now := newTestTable(), time.Now()
 	table.Impose(1, 5, now.Add(3*time.Second), now)
-	table.Heard(2, Said{Kind: SaidNone}, now, now)
+	table.Record(2, Report{Kind: LimitNone}, now, now)
 	_, limited := table.Get(1)
 	is.True(limited)
 }
@@ -47,14 +47,14 @@
 			for seed := range uint64(20) {
 				rnd := rand.New(rand.NewPCG(seed, 1))
 				g, now := NewGrantor(), time.Now()
-				limit := Known{Statement: Statement{Server: 1, Limit: RateWithin(most), Limited: true, At: now}, Since: now}
+				limit := KnownLimit{Observation: Observation{Server: 1, Limit: RateWithin(most), Limited: true, At: now}, Since: now}
 				var used []time.Time
 				for range 20_000 {
 					now = now.Add(time.Duration(rnd.Int64N(int64(time.Millisecond))))
 					if rnd.IntN(4000) == 0 {
 						now = now.Add(time.Duration(rnd.Int64N(int64(3 * time.Second)))) // no requests
 					}
-					if g.Handle(limit, FleetView{IsGrantor: true, Part: 1}, now).Granted {
+					if g.Handle(limit, FleetView{IsGrantor: true, ReachableFraction: 1}, now).Granted {
 						used = append(used, now.Add(time.Duration(rnd.Int64N(int64(permitTimeout)))))
 					}
 				}
--- a/core/ratelimit/parse.go
+++ b/core/ratelimit/parse.go
@@ -18,11 +18,11 @@
 // the lowest valid one counts, and the error describes an invalid one. An invalid limit
 // reports nothing: neither that there is a limit nor that there is none. A limit above
 // MaxLimit counts as none.
-func Parse(values []string) (Said, error) {
+func Parse(values []string) (Report, error) {
 	if len(values) == 0 {
-		return Said{Kind: SaidNone}, nil
+		return Report{Kind: LimitNone}, nil
 	}
-	out := Said{}
+	out := Report{}
 	var invalid error
 	for text := range strings.SplitSeq(strings.Join(values, ","), ",") {
 		limit, err := parseLimit(strings.TrimSpace(text))
@@ -30,11 +30,11 @@
 		case err != nil:
 			invalid = err
 		case out.Kind == LimitUnknown || limit < out.Limit:
-			out = Said{Kind: SaidLimit, Limit: limit}
+			out = Report{Kind: LimitSet, Limit: limit}
 		}
 	}
-	if out.Kind == SaidLimit && out.Limit > MaxLimit {
-		out = Said{Kind: SaidNone}
+	if out.Kind == LimitSet && out.Limit > MaxLimit {
+		out = Report{Kind: LimitNone}
 	}
 	return out, invalid
 }
--- a/core/ratelimit/parse_test.go
+++ b/core/ratelimit/parse_test.go
@@ -7,13 +7,13 @@
 )
 
 func TestParse(t *testing.T) {
-	limit := func(l float64) Said { return Said{Kind: SaidLimit, Limit: l} }
-	none := Said{Kind: SaidNone}
-	nothing := Said{}
+	limit := func(l float64) Report { return Report{Kind: LimitSet, Limit: l} }
+	none := Report{Kind: LimitNone}
+	nothing := Report{}
 	cases := []struct {
 		name   string
 		values []string
-		want   Said
+		want   Report
 		fails  bool
 	}{
 		{"no limit", nil, none, false},
@@ -55,7 +55,7 @@
 	f.Fuzz(func(t *testing.T, first, second string) {
 		reported, err := Parse([]string{first, second})
 		valid := reported.Limit >= 0 && reported.Limit <= MaxLimit
-		if !valid || reported.Kind != SaidLimit && reported.Limit != 0 {
+		if !valid || reported.Kind != LimitSet && reported.Limit != 0 {
 			t.Fatalf("%q, %q: %+v", first, second, reported)
 		}
 		if reported.Kind == LimitUnknown && err == nil {
--- a/core/ratelimit/single.go
+++ b/core/ratelimit/single.go
@@ -24,8 +24,8 @@
 	return &Single{table: NewTable(func(Key) string { return name }, log), grantor: NewGrantor()}
 }
 
-// Heard stores what an answer reported about the limit. sent is when the request was sent.
-func (s *Single) Heard(r Said, sent, now time.Time) { s.table.Heard(onlyServer, r, sent, now) }
+// Record stores what an answer reported about the limit. sent is when the request was sent.
+func (s *Single) Record(r Report, sent, now time.Time) { s.table.Record(onlyServer, r, sent, now) }
 
 // Take acquires the permit to send a request now. If there is none, it returns the time
 // after which to try again.
@@ -36,6 +36,6 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	grant := s.grantor.Handle(limit, FleetView{IsGrantor: true, Part: 1}, now)
+	grant := s.grantor.Handle(limit, FleetView{IsGrantor: true, ReachableFraction: 1}, now)
 	return grant.Wait, grant.Granted
 }
--- a/core/ratelimit/statement.go
+++ b/core/ratelimit/statement.go
@@ -18,8 +18,8 @@
 	minRate = 1.0 / 3
 )
 
-// Said is what one answer reports about a limit.
-type Said struct {
+// Report is what one answer reports about a limit.
+type Report struct {
 	Kind  LimitKind
 	Limit float64 // requests a second, 0 or more; only with SaidLimit
 }
@@ -30,12 +30,12 @@
 // Kinds of reports about a limit.
 const (
 	LimitUnknown LimitKind = iota // the answer does not tell whether there is a limit
-	SaidNone                      // there is no limit
-	SaidLimit                     // there is a limit
+	LimitNone                     // there is no limit
+	LimitSet                      // there is a limit
 )
 
-// Statement is a backend server's limit as reported in one answer.
-type Statement struct {
+// Observation is a backend server's limit as reported in one answer.
+type Observation struct {
 	Server  Key
 	Limit   float64 // requests a second
 	Limited bool    // false: the server reported no limit
@@ -46,20 +46,20 @@
 }
 
 // rate returns the rate at which requests are sent to the server, in requests a second.
-func (s Statement) rate() float64 { return max(minRate, s.Limit) }
+func (s Observation) rate() float64 { return max(minRate, s.Limit) }
 
-func (s Statement) same(o Statement) bool { return s.Limited == o.Limited && s.Limit == o.Limit }
+func (s Observation) same(o Observation) bool { return s.Limited == o.Limited && s.Limit == o.Limit }
 
 // supersedes reports whether the observation replaces another one of the same server. Of
 // two observations of the same time, the lower limit wins.
-func (s Statement) supersedes(o Statement) bool {
+func (s Observation) supersedes(o Observation) bool {
 	if !s.At.Equal(o.At) {
 		return s.At.After(o.At)
 	}
 	return s.Limited && (!o.Limited || s.Limit < o.Limit)
 }
 
-func (s Statement) wire(now time.Time) *wire.ServerLimit {
+func (s Observation) wire(now time.Time) *wire.ServerLimit {
 	out := &wire.ServerLimit{Server: uint64(s.Server), Ended: !s.Limited}
 	if s.Limited {
 		out.Limit = s.Limit
@@ -70,8 +70,8 @@
 	return out
 }
 
-// AskToWire encodes a permit request for the server.
-func (s Statement) AskToWire(now time.Time) *wire.PermitAsk {
+// PermitRequestToWire encodes a permit request for the server.
+func (s Observation) PermitRequestToWire(now time.Time) *wire.PermitAsk {
 	return &wire.PermitAsk{Limit: s.wire(now)}
 }
 
@@ -95,13 +95,13 @@
 
 // StatementFromWire decodes an observation. It returns false if the observation is
 // invalid.
-func StatementFromWire(w *wire.ServerLimit, now time.Time) (Statement, bool) {
+func StatementFromWire(w *wire.ServerLimit, now time.Time) (Observation, bool) {
 	limit := w.GetLimit()
 	valid := limit >= 0 && limit <= MaxLimit // false for NaN
 	if w == nil || !valid || w.GetEnded() && limit != 0 {
-		return Statement{}, false
+		return Observation{}, false
 	}
-	return Statement{
+	return Observation{
 		Server: Key(w.GetServer()), Limit: limit, Limited: !w.GetEnded(),
 		At: now.Add(-time.Duration(w.GetAgeMs()) * time.Millisecond),
 	}, true
--- a/core/ratelimit/table.go
+++ b/core/ratelimit/table.go
@@ -41,9 +41,9 @@
 // sourceImposed is the source of a limit that each process imposes on its own.
 const sourceImposed = "imposed"
 
-// Known is an observation and how it became known.
-type Known struct {
-	Statement
+// KnownLimit is an observation and how it became known.
+type KnownLimit struct {
+	Observation
 	Source string
 	// Since is when this process first learned of the limit or of its end.
 	Since time.Time
@@ -64,58 +64,58 @@
 	count   atomic.Int32 // number of observations
 
 	mu    sync.Mutex
-	known map[Key]*Known
+	known map[Key]*KnownLimit
 	next  int // index of the observation last reported in turn
 }
 
 // NewTable returns an empty table. name returns the id of a backend server for the log, or
 // an empty string if the server is unknown.
 func NewTable(name func(Key) string, log zerolog.Logger) *Table {
-	return &Table{log: log, name: name, startedAt: clock.Now(), known: make(map[Key]*Known)}
+	return &Table{log: log, name: name, startedAt: clock.Now(), known: make(map[Key]*KnownLimit)}
 }
 
 // Limited returns the number of backend servers with a limit.
 func (t *Table) Limited() int { return int(t.limited.Load()) }
 
 // Get returns the limit of a server, if it has one.
-func (t *Table) Get(server Key) (Known, bool) {
+func (t *Table) Get(server Key) (KnownLimit, bool) {
 	if t.limited.Load() == 0 {
-		return Known{}, false
+		return KnownLimit{}, false
 	}
 	k, known := t.Latest(server)
 	return k, known && k.Limited
 }
 
 // Latest returns the latest observation for a server, including that its limit ended.
-func (t *Table) Latest(server Key) (Known, bool) {
+func (t *Table) Latest(server Key) (KnownLimit, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k := t.known[server]
 	if k == nil {
-		return Known{}, false
+		return KnownLimit{}, false
 	}
 	return *k, true
 }
 
-// Heard stores what an answer to a request of this process reported. sent is when the
+// Record stores what an answer to a request of this process reported. sent is when the
 // request was sent. Heard reports whether a limit ended.
-func (t *Table) Heard(server Key, reported Said, sent, now time.Time) (ended bool) {
+func (t *Table) Record(server Key, reported Report, sent, now time.Time) (ended bool) {
 	switch reported.Kind {
-	case SaidLimit:
-		return t.apply(Statement{Server: server, Limit: reported.Limit, Limited: true, At: sent}, SourceAnswer, now)
-	case SaidNone:
+	case LimitSet:
+		return t.apply(Observation{Server: server, Limit: reported.Limit, Limited: true, At: sent}, SourceAnswer, now)
+	case LimitNone:
 		if t.count.Load() == 0 {
 			return false // no server has ever reported a limit
 		}
-		return t.apply(Statement{Server: server, At: sent}, SourceAnswer, now)
+		return t.apply(Observation{Server: server, At: sent}, SourceAnswer, now)
 	default:
 		return false
 	}
 }
 
-// Hear records the observations that another gateway reports, and returns the servers
+// ReceiveLimits records the observations that another gateway reports, and returns the servers
 // whose limits ended.
-func (t *Table) Hear(from vm.ID, limits []*wire.ServerLimit, now time.Time) []Key {
+func (t *Table) ReceiveLimits(from vm.ID, limits []*wire.ServerLimit, now time.Time) []Key {
 	var ended []Key
 	for _, w := range limits {
 		s, ok := StatementFromWire(w, now)
@@ -133,7 +133,7 @@
 
 // apply records an observation unless it is outdated, logs the change, and reports whether
 // it ended a limit.
-func (t *Table) apply(s Statement, source string, now time.Time) (ended bool) {
+func (t *Table) apply(s Observation, source string, now time.Time) (ended bool) {
 	before, after, changed := t.merge(s, source, now)
 	if !changed {
 		return false
@@ -144,29 +144,29 @@
 
 // merge stores an observation unless it is outdated. It returns the known limits before
 // and after, and whether the limit changed.
-func (t *Table) merge(s Statement, source string, now time.Time) (before, after Known, changed bool) {
+func (t *Table) merge(s Observation, source string, now time.Time) (before, after KnownLimit, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.known[s.Server]
-	after = Known{Statement: s, Source: source, Since: now, New: source != sourceImposed && now.Sub(t.startedAt) >= startupTime}
+	after = KnownLimit{Observation: s, Source: source, Since: now, New: source != sourceImposed && now.Sub(t.startedAt) >= startupTime}
 	if old == nil {
 		if !s.Limited && (source == SourceAnswer || now.Sub(s.At) >= observationLifetime) {
-			return Known{}, Known{}, false // as far as known, the server had no limit before either
+			return KnownLimit{}, KnownLimit{}, false // as far as known, the server had no limit before either
 		}
 		t.evictOldest()
-		old = &Known{}
+		old = &KnownLimit{}
 		t.known[s.Server] = old
 		t.count.Store(int32(len(t.known)))
-	} else if s.same(old.Statement) {
+	} else if s.same(old.Observation) {
 		if s.At.Sub(old.At) >= newerTolerance {
 			old.At = s.At
 		}
 		if s.until.After(old.until) {
 			old.until = s.until
 		}
-		return Known{}, Known{}, false
-	} else if !s.supersedes(old.Statement) {
-		return Known{}, Known{}, false
+		return KnownLimit{}, KnownLimit{}, false
+	} else if !s.supersedes(old.Observation) {
+		return KnownLimit{}, KnownLimit{}, false
 	}
 	before, *old = *old, after
 	switch {
@@ -179,7 +179,7 @@
 }
 
 // logChange logs a changed limit.
-func (t *Table) logChange(before, after Known, now time.Time) {
+func (t *Table) logChange(before, after KnownLimit, now time.Time) {
 	message := "backend server names a limit"
 	switch {
 	case !after.Limited:
@@ -203,7 +203,7 @@
 	if len(t.known) < maxObservations {
 		return
 	}
-	var oldest *Known
+	var oldest *KnownLimit
 	for _, k := range t.known {
 		if oldest == nil || k.At.Before(oldest.At) {
 			oldest = k
@@ -213,7 +213,7 @@
 	t.forget(oldest)
 }
 
-func (t *Table) forget(k *Known) {
+func (t *Table) forget(k *KnownLimit) {
 	if k.Limited {
 		t.limited.Add(-1)
 	}
@@ -252,15 +252,15 @@
 	return out
 }
 
-// Told returns the observations to send in a heartbeat: recent changes, and others in
+// Report returns the observations to send in a heartbeat: recent changes, and others in
 // turn.
-func (t *Table) Told(now time.Time) []*wire.ServerLimit {
+func (t *Table) Report(now time.Time) []*wire.ServerLimit {
 	if t.count.Load() == 0 {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var fresh, old []*Known
+	var fresh, old []*KnownLimit
 	for _, k := range t.known {
 		if k.Source == sourceImposed {
 			continue
@@ -271,8 +271,8 @@
 			old = append(old, k)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b *Known) int { return b.Since.Compare(a.Since) })
-	slices.SortFunc(old, func(a, b *Known) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(fresh, func(a, b *KnownLimit) int { return b.Since.Compare(a.Since) })
+	slices.SortFunc(old, func(a, b *KnownLimit) int { return cmp.Compare(a.Server, b.Server) })
 	// Reserve space for some old observations, however many fresh ones there are.
 	fresh = fresh[:min(len(fresh), maxReported-min(maxReported/4, len(old)))]
 	out := make([]*wire.ServerLimit, 0, min(maxReported, len(fresh)+len(old)))
--- a/core/ratelimit/table_test.go
+++ b/core/ratelimit/table_test.go
@@ -17,16 +17,16 @@
 	return t
 }
 
-func limitedTo(limit float64) Said { return Said{Kind: SaidLimit, Limit: limit} }
+func limitedTo(limit float64) Report { return Report{Kind: LimitSet, Limit: limit} }
 
-var unlimited = Said{Kind: SaidNone}
+var unlimited = Report{Kind: LimitNone}
 
 // The answer to the request that was sent last counts, regardless of the order in which
 // answers arrive.
 func TestAnswerToLaterRequestWins(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1000, 0).Add(time.Duration(s) * time.Second) }
 	type answer struct {
-		report Said
+		report Report
 		sent   int
 	}
 	cases := []struct {
@@ -43,7 +43,7 @@
 		{"changed twice, out of order", []answer{{limitedTo(2), 1}, {limitedTo(5), 3}, {limitedTo(3), 2}}, 5},
 		{"reported again", []answer{{limitedTo(2), 1}, {unlimited, 2}, {limitedTo(3), 3}}, 3},
 		{"two at the same time", []answer{{limitedTo(2), 1}, {limitedTo(1), 1}, {unlimited, 1}}, 1},
-		{"nothing is reported", []answer{{limitedTo(2), 1}, {Said{}, 2}}, 2},
+		{"nothing is reported", []answer{{limitedTo(2), 1}, {Report{}, 2}}, 2},
 		{"zero", []answer{{limitedTo(0), 1}}, 0},
 	}
 	for _, c := range cases {
@@ -51,7 +51,7 @@
 			is := is.New(t)
 			table := newTestTable()
 			for _, a := range c.answers {
-				table.Heard(1, a.report, at(a.sent), at(10))
+				table.Record(1, a.report, at(a.sent), at(10))
 			}
 			k, limited := table.Get(1)
 			is.Equal(k.Limit, c.limit)
@@ -67,22 +67,22 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a, b := newTestTable(), newTestTable()
-	a.Heard(1, limitedTo(2), now.Add(-time.Second), now)
-	b.Hear("a", a.Told(now), now)
+	a.Record(1, limitedTo(2), now.Add(-time.Second), now)
+	b.ReceiveLimits("a", a.Report(now), now)
 	k, limited := b.Get(1)
 	is.True(limited)
 	is.Equal(k.Limit, 2.0)
 	is.Equal(k.Source, "a")
 	is.Equal(k.At, now.Add(-time.Second))
-	b.Heard(1, unlimited, now.Add(2*time.Second), now.Add(3*time.Second))
-	is.Equal(b.Hear("a", a.Told(now.Add(3*time.Second)), now.Add(3*time.Second)), nil) // older
+	b.Record(1, unlimited, now.Add(2*time.Second), now.Add(3*time.Second))
+	is.Equal(b.ReceiveLimits("a", a.Report(now.Add(3*time.Second)), now.Add(3*time.Second)), nil) // older
 	is.Equal(b.Limited(), 0)
-	is.Equal(a.Hear("b", b.Told(now.Add(4*time.Second)), now.Add(4*time.Second)), []Key{1})
+	is.Equal(a.ReceiveLimits("b", b.Report(now.Add(4*time.Second)), now.Add(4*time.Second)), []Key{1})
 	is.Equal(a.Limited(), 0)
 	// A table that never knew of the limit must not accept an old answer as new.
 	c := newTestTable()
-	c.Hear("b", b.Told(now.Add(4*time.Second)), now.Add(4*time.Second))
-	c.Heard(1, limitedTo(2), now, now.Add(5*time.Second))
+	c.ReceiveLimits("b", b.Report(now.Add(4*time.Second)), now.Add(4*time.Second))
+	c.Record(1, limitedTo(2), now, now.Add(5*time.Second))
 	is.Equal(c.Limited(), 0)
 }
 
@@ -92,14 +92,14 @@
 	now := time.Unix(1000, 0)
 	a, b := newTestTable(), newTestTable()
 	reportedAt := now
-	a.Heard(1, limitedTo(2), reportedAt, now)
+	a.Record(1, limitedTo(2), reportedAt, now)
 	for range 1000 {
-		reported := a.Told(now)
+		reported := a.Report(now)
 		now = now.Add(20 * time.Millisecond) // transmission time
-		b.Hear("a", reported, now)
-		reported = b.Told(now)
+		b.ReceiveLimits("a", reported, now)
+		reported = b.Report(now)
 		now = now.Add(20 * time.Millisecond)
-		a.Hear("b", reported, now)
+		a.ReceiveLimits("b", reported, now)
 	}
 	k, _ := a.Get(1)
 	is.True(k.At.Sub(reportedAt) < newerTolerance)
@@ -127,13 +127,13 @@
 	table := newTestTable()
 	const servers = 200
 	for i := range servers {
-		table.Heard(Key(i), limitedTo(1), now, now)
+		table.Record(Key(i), limitedTo(1), now, now)
 	}
 	now = now.Add(2 * freshTime)
-	table.Heard(servers, limitedTo(1), now, now)
+	table.Record(servers, limitedTo(1), now, now)
 	reported := make(map[uint64]bool)
 	for range servers/(maxReported-1) + 1 {
-		out := table.Told(now)
+		out := table.Report(now)
 		is.True(len(out) <= maxReported)
 		is.Equal(out[0].GetServer(), uint64(servers))
 		for _, w := range out {
@@ -148,9 +148,9 @@
 	now := time.Unix(1000, 0)
 	table := newTestTable()
 	for i := range 3 {
-		table.Heard(Key(i), limitedTo(1), now, now)
+		table.Record(Key(i), limitedTo(1), now, now)
 	}
-	table.Heard(2, unlimited, now.Add(time.Second), now)
+	table.Record(2, unlimited, now.Add(time.Second), now)
 	listed := func(k Key) bool { return k == 0 }
 	table.Expire(listed, now.Add(observationLifetime-time.Second))
 	is.Equal(table.Limited(), 2) // the server's entry may be missing for a while
@@ -168,7 +168,7 @@
 	now := time.Unix(1000, 0)
 	table := newTestTable()
 	for i := range maxObservations + 10 {
-		table.Heard(Key(i), limitedTo(1), now.Add(time.Duration(i)), now)
+		table.Record(Key(i), limitedTo(1), now.Add(time.Duration(i)), now)
 	}
 	is.Equal(table.Limited(), maxObservations)
 	_, known := table.Latest(0)
@@ -189,7 +189,7 @@
 		}
 		now := time.Unix(1000, 0)
 		table := newTestTable()
-		table.Hear("a", hb.GetLimits(), now)
+		table.ReceiveLimits("a", hb.GetLimits(), now)
 		limited := 0
 		for _, k := range table.known {
 			if k.Limited {
@@ -199,7 +199,7 @@
 				t.Fatalf("%+v", k)
 			}
 		}
-		if limited != table.Limited() || len(table.Told(now)) > maxReported {
+		if limited != table.Limited() || len(table.Report(now)) > maxReported {
 			t.Fatalf("%d limited, %d counted", limited, table.Limited())
 		}
 	})
--- a/core/source/explore_test.go
+++ b/core/source/explore_test.go
@@ -119,7 +119,7 @@
 			delete(out, e.Key)
 			continue
 		}
-		e.Era = w.term
+		e.Term = w.term
 		out[e.Key] = e.Item
 	}
 	return out
@@ -190,12 +190,12 @@
 	}
 	for key, before := range f.items {
 		_, listed := u.Items[key]
-		removed := !listed && u.Era == f.term // missing from a copy proves no removal
+		removed := !listed && u.Term == f.term // missing from a copy proves no removal
 		if key != configKey && (removed || isLeaving(before.Value)) {
 			f.endedIncarnation[key] = max(f.endedIncarnation[key], leadingNumber(before.Value))
 		}
 	}
-	f.term = u.Era
+	f.term = u.Term
 	for key, i := range u.Items {
 		if key != configKey && !isLeaving(i.Value) && leadingNumber(i.Value) <= f.endedIncarnation[key] && f.view.lastAnswer.Sub(f.view.answeringSince) < exploreTTL {
 			f.world.violatef("%s %q at %v, known to be leaving or removed", key, i.Value, u.Position)
@@ -208,8 +208,8 @@
 func (w *exploration) share(from, to *exploredFollower) {
 	s := from.Since(to.view.at, from.Retained() != to.Retained())
 	if w.bug == bugNoSharing {
-		s.Kept, s.Gone = nil, nil
-		if s.Era < to.view.at.Era {
+		s.RetainedItems, s.Gone = nil, nil
+		if s.Term < to.view.at.Term {
 			return
 		}
 	}
--- a/core/source/follower.go
+++ b/core/source/follower.go
@@ -57,9 +57,9 @@
 	Position                 // from which the next watch continues
 	// Changed is the position of the newest known change.
 	Changed Position
-	// Absence is how long a missing entry may still reappear because of an outage or a
+	// MissingGrace is how long a missing entry may still reappear because of an outage or a
 	// restore of the store; 0 means that missing entries are gone.
-	Absence time.Duration
+	MissingGrace time.Duration
 	// From names the follower that the state was taken from; empty means the store
 	// itself.
 	From string
@@ -74,9 +74,9 @@
 	Deliver func(Update)
 	// Within is the time in which a change has to take effect. Default 2s.
 	Within time.Duration
-	// Duty returns the follower's role and is called before each call to the store; nil
+	// Role returns the follower's role and is called before each call to the store; nil
 	// means that the follower leads. A passive follower relies on what others offer.
-	Duty func() Duty
+	Role func() Role
 	// Others returns how many reachable others follow the same store; nil means none.
 	Others func() int
 
@@ -132,7 +132,7 @@
 
 // callDelay returns how long to wait before the next call to the store, 0 = call now.
 func (f *Follower) callDelay(now time.Time) time.Duration {
-	if f.role() == DutyRest {
+	if f.role() == RolePassive {
 		f.view.noteAnswer(now, false) // a passive role implies that others got a recent answer
 		return passivePause
 	}
@@ -154,7 +154,7 @@
 		f.noProgress++
 		f.relist = true
 		f.recoveredAt, f.missingGrace = now, outageGrace
-		f.Log.Warn().Err(err).Str("prefix", f.Prefix).Uint64("era", f.view.at.Era).Uint64("revision", f.view.at.Revision).
+		f.Log.Warn().Err(err).Str("prefix", f.Prefix).Uint64("era", f.view.at.Term).Uint64("revision", f.view.at.Revision).
 			Int("in_a_row", f.noProgress).Msg("watch history lost, listing again")
 		return relistPause(f.noProgress, f.role())
 	case errors.Is(err, errEmptyWatch):
@@ -168,11 +168,11 @@
 	}
 }
 
-func (f *Follower) role() Duty {
-	if f.Duty == nil {
-		return DutyLead
+func (f *Follower) role() Role {
+	if f.Role == nil {
+		return RoleLead
 	}
-	return f.Duty()
+	return f.Role()
 }
 
 func (f *Follower) callStore(ctx context.Context) error {
@@ -184,7 +184,7 @@
 
 func (f *Follower) watch(ctx context.Context) error {
 	began := clock.Now()
-	period := Wait(f.role(), f.others(), f.Within)
+	period := WatchWait(f.role(), f.others(), f.Within)
 	if suppressedUntil := f.view.suppressedUntil(); !suppressedUntil.IsZero() {
 		period = max(callGap, min(period, suppressedUntil.Sub(began)))
 	}
@@ -238,13 +238,13 @@
 
 // checkTerm returns an error unless an answer belongs to the known term.
 func (f *Follower) checkTerm(at Position) error {
-	switch known := f.view.at.Era; {
-	case !f.view.known() || at.Era == known:
+	switch known := f.view.at.Term; {
+	case !f.view.known() || at.Term == known:
 		return nil
-	case at.Era > known:
+	case at.Term > known:
 		return errRestored
 	default:
-		return eris.Wrapf(errStale, "of term %d, known: %d", at.Era, known)
+		return eris.Wrapf(errStale, "of term %d, known: %d", at.Term, known)
 	}
 }
 
@@ -292,7 +292,7 @@
 		return
 	}
 	f.nudged = at
-	f.Log.Info().Str("prefix", f.Prefix).Uint64("era", at.Era).Uint64("revision", at.Revision).
+	f.Log.Info().Str("prefix", f.Prefix).Uint64("era", at.Term).Uint64("revision", at.Revision).
 		Msg("another follower knows a newer change, restarting the watch")
 	f.cancel()
 }
@@ -310,11 +310,11 @@
 		return err
 	}
 	if f.view.at.After(at) {
-		return eris.Wrapf(errStale, "list at %d.%d, known: %d.%d", at.Era, at.Revision, f.view.at.Era, f.view.at.Revision)
+		return eris.Wrapf(errStale, "list at %d.%d, known: %d.%d", at.Term, at.Revision, f.view.at.Term, f.view.at.Revision)
 	}
 	now := clock.Now()
 	f.succeeded(now)
-	restored := f.view.known() && at.Era > f.view.at.Era
+	restored := f.view.known() && at.Term > f.view.at.Term
 	f.view.list(items, at, now)
 	f.relist, f.from = false, ""
 	if restored {
@@ -329,10 +329,10 @@
 func (f *Follower) noteRestore(now time.Time) {
 	f.recoveredAt, f.missingGrace = now, recoveryTime
 	for key, k := range f.view.retained {
-		f.Log.Info().Str("prefix", f.Prefix).Str("key", key).Uint64("era", k.Era).Uint64("revision", k.Revision).
+		f.Log.Info().Str("prefix", f.Prefix).Str("key", key).Uint64("era", k.Term).Uint64("revision", k.Revision).
 			Msg("entry kept from before the store's return")
 	}
-	f.Log.Warn().Str("prefix", f.Prefix).Uint64("era", f.view.at.Era).Uint64("revision", f.view.at.Revision).
+	f.Log.Warn().Str("prefix", f.Prefix).Uint64("era", f.view.at.Term).Uint64("revision", f.view.at.Revision).
 		Int("items", len(f.view.listed)).Int("kept", len(f.view.retained)).Strs("hidden", firstKeys(f.view.suppressed())).
 		Msg("store is back from an older copy")
 }
@@ -354,7 +354,7 @@
 	now := clock.Now()
 	u := Update{Items: f.view.items(), Position: f.view.at, Changed: f.view.changed, From: f.from}
 	if !f.recoveredAt.IsZero() && now.Sub(f.recoveredAt) < recoveryTime {
-		u.Absence = f.missingGrace
+		u.MissingGrace = f.missingGrace
 	}
 	f.Deliver(u)
 }
@@ -379,11 +379,11 @@
 func (f *Follower) failed(err error, now time.Time) time.Duration {
 	if f.failingSince.IsZero() {
 		f.failingSince = now
-		f.Log.Warn().Err(err).Str("prefix", f.Prefix).Uint64("era", f.view.at.Era).Uint64("revision", f.view.at.Revision).Msg("store lost")
+		f.Log.Warn().Err(err).Str("prefix", f.Prefix).Uint64("era", f.view.at.Term).Uint64("revision", f.view.at.Revision).Msg("store lost")
 	}
 	f.failures++
 	f.unavailable.Store(true)
-	if f.view.known() && f.role() == DutyStandIn {
+	if f.view.known() && f.role() == RoleStandIn {
 		return standInPause()
 	}
 	return backoff(f.failures)
--- a/core/source/follower_test.go
+++ b/core/source/follower_test.go
@@ -73,7 +73,7 @@
 	_, found := updates[1].Items["a"]
 	is.True(!found)
 	is.Equal(updates[1].Revision, uint64(4))
-	is.True(updates[1].Absence == 0)
+	is.True(updates[1].MissingGrace == 0)
 }
 
 func TestLostHistoryIsListedAgain(t *testing.T) {
@@ -106,7 +106,7 @@
 		step{err: ErrUnavailable},
 		step{events: []Event{{Item: item("a", 2), Removed: true}}, revision: 2},
 	)
-	is.True(updates[1].Absence > 0)
+	is.True(updates[1].MissingGrace > 0)
 }
 
 // stalledStore is a store whose first watch delivers nothing until it is canceled.
@@ -156,7 +156,7 @@
 	others.Store(30)
 	store := stalledStore{make(chan struct{}, 1)}
 	updates := make(chan Update, 8)
-	f := &Follower{Store: store, Log: zerolog.Nop(), Duty: func() Duty { return DutyFollow }, Others: func() int { return int(others.Load()) }, Deliver: func(u Update) {
+	f := &Follower{Store: store, Log: zerolog.Nop(), Role: func() Role { return RoleFollow }, Others: func() int { return int(others.Load()) }, Deliver: func(u Update) {
 		select {
 		case updates <- u:
 		default:
@@ -238,12 +238,12 @@
 
 // passiveIf returns the role function of a follower that is passive while the flag is set
 // and leads otherwise.
-func passiveIf(passive *atomic.Bool) func() Duty {
-	return func() Duty {
+func passiveIf(passive *atomic.Bool) func() Role {
+	return func() Role {
 		if passive.Load() {
-			return DutyRest
+			return RolePassive
 		}
-		return DutyLead
+		return RoleLead
 	}
 }
 
@@ -258,7 +258,7 @@
 	store := stalledStore{make(chan struct{}, 1)}
 	updates := make(chan Update, 8)
 	f := &Follower{
-		Store: store, Log: zerolog.Nop(), Duty: passiveIf(&passive),
+		Store: store, Log: zerolog.Nop(), Role: passiveIf(&passive),
 		Deliver: func(u Update) {
 			select {
 			case updates <- u:
@@ -285,12 +285,12 @@
 func TestStandInTriesAFailingStoreSeldom(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	role := DutyLead
-	f := &Follower{Log: zerolog.Nop(), Duty: func() Duty { return role }}
+	role := RoleLead
+	f := &Follower{Log: zerolog.Nop(), Role: func() Role { return role }}
 	for range 20 {
 		is.True(f.failed(ErrUnavailable, now) <= maxBackoff)
 	}
-	role = DutyStandIn
+	role = RoleStandIn
 	is.True(f.failed(ErrUnavailable, now) <= maxBackoff) // without any state it does not slow down
 	f.view.listed = map[string]Item{}
 	pause := f.failed(ErrUnavailable, now)
@@ -304,7 +304,7 @@
 	defer cancel()
 	updates := make(chan Update, 8)
 	f := &Follower{
-		Store: unreachable{}, Log: zerolog.Nop(), Duty: func() Duty { return DutyStandIn }, view: view{listed: map[string]Item{}},
+		Store: unreachable{}, Log: zerolog.Nop(), Role: func() Role { return RoleStandIn }, view: view{listed: map[string]Item{}},
 		Deliver: func(u Update) { updates <- u },
 	}
 	go f.Run(ctx)
@@ -357,7 +357,7 @@
 	defer cancel()
 	var passive atomic.Bool
 	updates := make(chan Update, 8)
-	f := &Follower{Store: compactedStore{&passive}, Log: zerolog.Nop(), Duty: passiveIf(&passive), Deliver: func(u Update) { updates <- u }}
+	f := &Follower{Store: compactedStore{&passive}, Log: zerolog.Nop(), Role: passiveIf(&passive), Deliver: func(u Update) { updates <- u }}
 	go f.Run(ctx)
 	is.Equal((<-updates).Revision, uint64(1))
 	for !passive.Load() {
@@ -385,6 +385,6 @@
 		step{items: []Item{item("a", 3)}, revision: 9, term: 2},
 	)
 	is.Equal(len(updates), 3)
-	is.Equal(updates[1].Absence, recoveryTime)
-	is.Equal(updates[2].Absence, outageGrace)
+	is.Equal(updates[1].MissingGrace, recoveryTime)
+	is.Equal(updates[2].MissingGrace, outageGrace)
 }
--- a/core/source/offers.go
+++ b/core/source/offers.go
@@ -13,15 +13,15 @@
 // and the entries that it knows in a newer version than the store lists since it was
 // restored from an older copy.
 type State struct {
-	Items    map[string]Item // as listed by the store, nil = see Events; read-only
-	Events   []Event
-	After    Position // position that the events follow
-	Position          // from which the next watch continues
-	Changed  Position // position of the newest change
-	Base     Position // position of the earliest known list of the term
-	Kept     []Item   // replace what the store lists
-	Gone     []Removal
-	From     string // origin of the state, for logs
+	Items         map[string]Item // as listed by the store, nil = see Events; read-only
+	Events        []Event
+	After         Position // position that the events follow
+	Position               // from which the next watch continues
+	Changed       Position // position of the newest change
+	Base          Position // position of the earliest known list of the term
+	RetainedItems []Item   // replace what the store lists
+	Gone          []Removal
+	From          string // origin of the state, for logs
 }
 
 const (
@@ -31,9 +31,9 @@
 	maxRecent = 256
 )
 
-// Heard returns when the store last answered, or the zero time if it never has. It is
+// LastAnswer returns when the store last answered, or the zero time if it never has. It is
 // safe for concurrent use.
-func (f *Follower) Heard() time.Time {
+func (f *Follower) LastAnswer() time.Time {
 	if lastAnswer := f.lastAnswer.Load(); lastAnswer != nil {
 		return *lastAnswer
 	}
@@ -47,7 +47,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.latest
-	if after.Revision == 0 || after.Era != s.Era || f.recentFrom.After(after) {
+	if after.Revision == 0 || after.Term != s.Term || f.recentFrom.After(after) {
 		return s
 	}
 	s.Items, s.After = nil, after
@@ -77,7 +77,7 @@
 	defer f.mu.Unlock()
 	f.latest = State{
 		Items: f.view.listed, Position: f.view.at, Changed: f.view.changed, Base: f.view.base,
-		Kept: slices.Collect(maps.Values(f.view.retained)), Gone: slices.Collect(maps.Values(f.view.removals)),
+		RetainedItems: slices.Collect(maps.Values(f.view.retained)), Gone: slices.Collect(maps.Values(f.view.removals)),
 	}
 	f.retainedDigest = f.view.digest()
 	if events == nil {
@@ -158,11 +158,11 @@
 	case newer && offer.Items != nil:
 		taken = len(offer.Items)
 		f.adoptItems(offer, now)
-	case newer && f.view.known() && offer.After.Era == f.view.at.Era && !offer.After.After(f.view.at):
+	case newer && f.view.known() && offer.After.Term == f.view.at.Term && !offer.After.After(f.view.at):
 		taken = f.adoptEvents(offer, now)
 	}
-	retained := offer.Kept
-	if offer.Era < f.view.at.Era {
+	retained := offer.RetainedItems
+	if offer.Term < f.view.at.Term {
 		retained = append(slices.Collect(maps.Values(offer.Items)), retained...)
 	}
 	merged := f.view.merge(retained, offer.Gone, offer.Base, now)
@@ -174,13 +174,13 @@
 	}
 	f.from = offer.From
 	f.deliver()
-	f.Log.Info().Str("prefix", f.Prefix).Str("from", offer.From).Uint64("era", f.view.at.Era).Uint64("revision", f.view.at.Revision).
-		Uint64("known_era", known.Era).Uint64("known", known.Revision).Int("taken", taken).Bool("events", offer.Items == nil).
+	f.Log.Info().Str("prefix", f.Prefix).Str("from", offer.From).Uint64("era", f.view.at.Term).Uint64("revision", f.view.at.Revision).
+		Uint64("known_era", known.Term).Uint64("known", known.Revision).Int("taken", taken).Bool("events", offer.Items == nil).
 		Int("kept", len(f.view.retained)).Strs("hidden", firstKeys(f.view.suppressed())).Msg("state taken from another follower")
 }
 
 func (f *Follower) adoptItems(offer *State, now time.Time) {
-	restored := f.view.known() && offer.Era > f.view.at.Era
+	restored := f.view.known() && offer.Term > f.view.at.Term
 	f.view.replace(offer.Items, offer.Position, offer.Changed, offer.Base, now)
 	f.relist = false
 	if restored {
--- a/core/source/pacing.go
+++ b/core/source/pacing.go
@@ -50,25 +50,25 @@
 	burstGap = time.Second
 )
 
-// Duty determines whether, and for whom, a follower calls the store.
-type Duty int
+// Role determines whether, and for whom, a follower calls the store.
+type Role int
 
 // Roles of a follower.
 const (
-	// DutyLead follows on behalf of others, with short watches.
-	DutyLead Duty = iota
-	// DutyFollow follows in addition to the leaders.
-	DutyFollow
-	// DutyStandIn follows because no reachable follower is known to do so. Each try of an
+	// RoleLead follows on behalf of others, with short watches.
+	RoleLead Role = iota
+	// RoleFollow follows in addition to the leaders.
+	RoleFollow
+	// RoleStandIn follows because no reachable follower is known to do so. Each try of an
 	// unavailable store adds load, so stand-ins try seldom.
-	DutyStandIn
-	// DutyRest makes no calls to the store.
-	DutyRest
+	RoleStandIn
+	// RolePassive makes no calls to the store.
+	RolePassive
 )
 
 var roleNames = [...]string{"lead", "follow", "stand-in", "rest"}
 
-func (r Duty) String() string { return roleNames[r] }
+func (r Role) String() string { return roleNames[r] }
 
 func fraction(p float64, within time.Duration) time.Duration {
 	return time.Duration(p * float64(settings.Or(within, defaultWithin)))
@@ -76,28 +76,28 @@
 
 // maxWatchWait returns the longest wait of a watch, given how many others follow the same
 // store and the time in which a change has to take effect (0 = 2s).
-func maxWatchWait(r Duty, others int, within time.Duration) time.Duration {
-	if r == DutyLead {
+func maxWatchWait(r Role, others int, within time.Duration) time.Duration {
+	if r == RoleLead {
 		return fraction(leadWaitMax, within)
 	}
 	return min(maxWait, max(fraction(leadWaitMax, within), fraction(followFraction*float64(others+1), within)*5/4))
 }
 
-// Wait returns the wait of the next watch. Each event wakes all followers at once, so the
+// WatchWait returns the wait of the next watch. Each event wakes all followers at once, so the
 // following waits are random: if watches stall, some follower soon starts a new one and
 // informs the others.
-func Wait(r Duty, others int, within time.Duration) time.Duration {
+func WatchWait(r Role, others int, within time.Duration) time.Duration {
 	longest := maxWatchWait(r, others, within)
 	least := longest / 5
-	if r == DutyLead {
+	if r == RoleLead {
 		least = fraction(leadWaitMin, within)
 	}
 	return least + rand.N(longest-least)
 }
 
-// Staleness returns how old the store's latest answer to any follower may be while
+// MaxStaleness returns how old the store's latest answer to any follower may be while
 // passive followers rely on it.
-func Staleness(within time.Duration) time.Duration { return fraction(staleFraction, within) }
+func MaxStaleness(within time.Duration) time.Duration { return fraction(staleFraction, within) }
 
 // standInPause is the pause after a failed call of a stand-in that knows the state.
 func standInPause() time.Duration { return minStandInPause + rand.N(maxStandInPause-minStandInPause) }
@@ -111,11 +111,11 @@
 
 // relistPause returns the pause before a list after a lost history, the n-th consecutive
 // one.
-func relistPause(n int, r Duty) time.Duration {
+func relistPause(n int, r Role) time.Duration {
 	switch {
 	case n > 1:
 		return max(backoff(n), callGap)
-	case r == DutyStandIn:
+	case r == RoleStandIn:
 		return callGap + rand.N(standInListSpread)
 	default:
 		return callGap + rand.N(listSpread)
--- a/core/source/pacing_test.go
+++ b/core/source/pacing_test.go
@@ -14,18 +14,18 @@
 func TestWatchWaitGrowsWithTheNumberOfFollowers(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
-		role   Duty
+		role   Role
 		others int
 		within time.Duration
 		most   time.Duration
 	}{
-		{DutyLead, 0, 0, 700 * time.Millisecond},
-		{DutyLead, 100, 3 * time.Second, 1050 * time.Millisecond},
-		{DutyFollow, 7, 0, 6 * time.Second},
-		{DutyStandIn, 100, 0, maxWait},
+		{RoleLead, 0, 0, 700 * time.Millisecond},
+		{RoleLead, 100, 3 * time.Second, 1050 * time.Millisecond},
+		{RoleFollow, 7, 0, 6 * time.Second},
+		{RoleStandIn, 100, 0, maxWait},
 	} {
 		for range 100 {
-			w := Wait(c.role, c.others, c.within)
+			w := WatchWait(c.role, c.others, c.within)
 			is.True(w >= c.most/5 && w <= c.most)
 		}
 	}
@@ -41,7 +41,7 @@
 	for range rounds {
 		first := maxWait
 		for range followers {
-			first = min(first, Wait(DutyStandIn, followers-1, 0))
+			first = min(first, WatchWait(RoleStandIn, followers-1, 0))
 		}
 		if first > maxWait/2 {
 			late++
--- a/core/source/view.go
+++ b/core/source/view.go
@@ -87,7 +87,7 @@
 // replace takes over all entries, of the same term or a later one.
 func (v *view) replace(listed map[string]Item, at, changed, base Position, now time.Time) {
 	before, known := v.listed, v.items()
-	restored := v.known() && at.Era > v.at.Era
+	restored := v.known() && at.Term > v.at.Term
 	if restored || !v.known() {
 		v.base, v.answeringSince, v.lastAnswer = base, now, now
 	}
@@ -188,7 +188,7 @@
 // another term may have been read from a copy, so that only its value decides.
 func (v *view) wasRemoved(known Item) bool {
 	g, removed := v.removals[known.Key]
-	if removed && known.Era == g.Era && known.Position.After(g.Position) {
+	if removed && known.Term == g.Term && known.Position.After(g.Position) {
 		return false
 	}
 	return removed && !g.Missing && !v.rules.outdated(known, g.Item) && !v.rules.permanent(known.Key)
@@ -198,14 +198,14 @@
 // list since, and reports whether anything changed.
 func (v *view) merge(known []Item, removals []Removal, base Position, now time.Time) bool {
 	before := v.digest()
-	if base.Era == v.base.Era && v.base.After(base) {
+	if base.Term == v.base.Term && v.base.After(base) {
 		v.base = base
 	}
 	for _, i := range known {
 		v.retain(i)
 	}
 	for _, g := range removals {
-		if _, listed := v.listed[g.Key]; listed && g.Era >= v.at.Era {
+		if _, listed := v.listed[g.Key]; listed && g.Term >= v.at.Term {
 			continue // an event of this term reports it, or it has been written again
 		}
 		v.mergeRemoval(g)
@@ -262,7 +262,7 @@
 func (v *view) suppresses(key string) bool {
 	listed, ok := v.listed[key]
 	g, removed := v.removals[key]
-	if !ok || !removed || g.Era >= v.at.Era || listed.Revision > v.base.Revision {
+	if !ok || !removed || g.Term >= v.at.Term || listed.Revision > v.base.Revision {
 		return false
 	}
 	if g.Missing {
--- a/entry/admission/admission_test.go
+++ b/entry/admission/admission_test.go
@@ -17,13 +17,13 @@
 		edit func(*Request)
 		want Urgency
 	}{
-		{"just arrived", func(*Request) {}, Punctual},
-		{"time for one more answer", func(r *Request) { r.Age = 249 * ms }, Punctual},
+		{"just arrived", func(*Request) {}, OnTime},
+		{"time for one more answer", func(r *Request) { r.Age = 249 * ms }, OnTime},
 		{"no time for one", func(r *Request) { r.Age = 250 * ms }, Late},
 		{"interrupted", func(r *Request) { r.Interrupted = true }, Late},
 		{"its caller leaves before", func(r *Request) { r.Age = 1850 * ms }, Hopeless},
-		{"answers as slow as the objective", func(r *Request) { r.FirstAnswer = time.Second }, Punctual},
-		{"no objective", func(r *Request) { r.Objective, r.Age = 0, time.Second }, Punctual},
+		{"answers as slow as the objective", func(r *Request) { r.FirstAnswer = time.Second }, OnTime},
+		{"no objective", func(r *Request) { r.Objective, r.Age = 0, time.Second }, OnTime},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -38,15 +38,15 @@
 	is := is.New(t)
 	// 63 ranks with 10 slots each, 12 gateways, 224 streams per second with a service
 	// time of 1.5 s
-	p := Places{Slots: 630, Members: 12, PunctualRate: 224.0 / 12, Stay: 1500 * ms}
-	is.Equal(LateRoom(p), 52.5-28)
-	p.PunctualRate = 40 // more than this process's share of the slots
-	is.True(LateRoom(p) < 0)
+	p := Places{Slots: 630, Members: 12, OnTimeRate: 224.0 / 12, Stay: 1500 * ms}
+	is.Equal(LateQuota(p), 52.5-28)
+	p.OnTimeRate = 40 // more than this process's share of the slots
+	is.True(LateQuota(p) < 0)
 }
 
 func TestMayWait(t *testing.T) {
 	request := Request{Objective: 400 * ms, Limit: 1900 * ms, FirstAnswer: 150 * ms}
-	busy := Situation{Room: 8, Taken: 8, Stay: 1600 * ms} // a slot is released every 0.2 s
+	busy := Situation{Quota: 8, Taken: 8, Stay: 1600 * ms} // a slot is released every 0.2 s
 	cases := []struct {
 		name string
 		r    func(*Request)
@@ -54,15 +54,15 @@
 		want bool
 	}{
 		{"on time, slots are released", nil, nil, true},
-		{"on time, no quota for late requests", nil, func(s *Situation) { s.Room = -1 }, true},
-		{"on time, the outage ends in time", nil, func(s *Situation) { s.Back = 200 * ms }, true},
-		{"on time, the outage lasts too long", nil, func(s *Situation) { s.Back = 2 * time.Second }, false},
+		{"on time, no quota for late requests", nil, func(s *Situation) { s.Quota = -1 }, true},
+		{"on time, the outage ends in time", nil, func(s *Situation) { s.RecoversIn = 200 * ms }, true},
+		{"on time, the outage lasts too long", nil, func(s *Situation) { s.RecoversIn = 2 * time.Second }, false},
 		{"late, the wait is short", func(r *Request) { r.Age = 300 * ms }, nil, true},
 		{"late, the wait is uncertain", func(r *Request) { r.Age = 300 * ms }, func(s *Situation) { s.Waiting = 4 }, false},
-		{"late, no quota", func(r *Request) { r.Age = 300 * ms }, func(s *Situation) { s.Room = 0 }, false},
+		{"late, no quota", func(r *Request) { r.Age = 300 * ms }, func(s *Situation) { s.Quota = 0 }, false},
 		{"interrupted, the wait is uncertain", func(r *Request) { r.Interrupted = true }, func(s *Situation) { s.Waiting = 8 }, true},
 		{"interrupted, the wait is too long", func(r *Request) { r.Interrupted = true }, func(s *Situation) { s.Waiting = 40 }, false},
-		{"interrupted, the outage ends about when its caller leaves", func(r *Request) { r.Interrupted = true }, func(s *Situation) { s.Back = 2 * time.Second }, true},
+		{"interrupted, the outage ends about when its caller leaves", func(r *Request) { r.Interrupted = true }, func(s *Situation) { s.RecoversIn = 2 * time.Second }, true},
 		{"too late for its caller", func(r *Request) { r.Age = 1800 * ms }, nil, false},
 	}
 	for _, c := range cases {
@@ -85,7 +85,7 @@
 	is := is.New(t)
 	var p Pacer
 	now := time.Unix(0, 0)
-	s := Situation{Back: time.Second, Room: 4, Stay: 800 * ms} // a slot is released every 0.2 s
+	s := Situation{RecoversIn: time.Second, Quota: 4, Stay: 800 * ms} // a slot is released every 0.2 s
 	var last time.Duration
 	for i := range 6 {
 		pause := p.Pause(s, 8*time.Second, 0, now)
@@ -100,8 +100,8 @@
 func TestRetryTimesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Situation{
-			Back:    time.Duration(rapid.IntRange(0, 5000).Draw(t, "back")) * ms,
-			Waiting: rapid.IntRange(0, 500).Draw(t, "waiting"), Room: rapid.Float64Range(-50, 50).Draw(t, "room"),
+			RecoversIn: time.Duration(rapid.IntRange(0, 5000).Draw(t, "back")) * ms,
+			Waiting:    rapid.IntRange(0, 500).Draw(t, "waiting"), Quota: rapid.Float64Range(-50, 50).Draw(t, "room"),
 			Taken: rapid.IntRange(0, 50).Draw(t, "taken"), Stay: time.Duration(rapid.IntRange(0, 5000).Draw(t, "stay")) * ms,
 		}
 		left := time.Duration(rapid.IntRange(0, 60_000).Draw(t, "left")) * ms
@@ -121,32 +121,32 @@
 // has lasted. Its length is learned from the first answer after it.
 func TestExpectedEndOfAnOutage(t *testing.T) {
 	is := is.New(t)
-	var s Stand
+	var s Outage
 	now := time.Unix(100, 0)
-	is.Equal(s.Back(now), time.Duration(0))
-	s.Stands(now)
-	is.Equal(s.Back(now), defaultOutage)
+	is.Equal(s.RecoversIn(now), time.Duration(0))
+	s.Observe(now)
+	is.Equal(s.RecoversIn(now), defaultOutage)
 	now = now.Add(time.Second)
-	s.Stands(now)
-	is.Equal(s.Back(now), defaultOutage-time.Second)
+	s.Observe(now)
+	is.Equal(s.RecoversIn(now), defaultOutage-time.Second)
 	now = now.Add(3 * time.Second)
-	s.Stands(now)
-	is.Equal(s.Back(now), time.Second) // a quarter of 4 s
+	s.Observe(now)
+	is.Equal(s.RecoversIn(now), time.Second) // a quarter of 4 s
 	s.Served(now)
-	is.Equal(s.Back(now), time.Duration(0))
+	is.Equal(s.RecoversIn(now), time.Duration(0))
 	now = now.Add(time.Minute)
-	s.Stands(now)
-	is.Equal(s.Back(now), (defaultOutage+maxOutage)/2)
+	s.Observe(now)
+	is.Equal(s.RecoversIn(now), (defaultOutage+maxOutage)/2)
 }
 
 // An outage without a recent observation counts as ended, so that the next one does not
 // seem to last long.
 func TestAnOutageWithoutObservationsExpires(t *testing.T) {
 	is := is.New(t)
-	var s Stand
+	var s Outage
 	now := time.Unix(100, 0)
-	s.Stands(now)
+	s.Observe(now)
 	now = now.Add(time.Minute)
-	s.Stands(now)
-	is.Equal(s.Back(now), defaultOutage)
+	s.Observe(now)
+	is.Equal(s.RecoversIn(now), defaultOutage)
 }
--- a/entry/admission/comeback.go
+++ b/entry/admission/comeback.go
@@ -46,11 +46,11 @@
 	longest := max(minRetryAfter, time.Duration(maxWaitFraction*float64(left)))
 	gap, delay := s.slotInterval(), s.QueueDelay()
 	if delay >= longest { // also if it is never
-		return latestRetryAfter(longest, s.Back, draw)
+		return latestRetryAfter(longest, s.RecoversIn, draw)
 	}
 	pause, ok := p.schedule.take(delay, gap, time.Duration(draw*float64(gap)), longest, now)
 	if !ok {
-		return latestRetryAfter(longest, s.Back, draw)
+		return latestRetryAfter(longest, s.RecoversIn, draw)
 	}
 	return pause
 }
--- a/entry/admission/line.go
+++ b/entry/admission/line.go
@@ -61,7 +61,7 @@
 	if r.Objective == 0 {
 		return r.PlacesBefore()
 	}
-	return min(r.Spare(), r.PlacesBefore())
+	return min(r.Slack(), r.PlacesBefore())
 }
 
 // Turn estimates when a server that is at its limit or in a backoff takes a request.
@@ -80,26 +80,26 @@
 // expected wait is an estimate.
 func (t Turn) PermitBy() time.Duration { return t.total() * safetyFactor }
 
-// RestBy returns the longest time for which a request waits for the end of a backoff. The
+// BackoffWaitLimit returns the longest time for which a request waits for the end of a backoff. The
 // end itself is known; the wait after it is an estimate.
-func (t Turn) RestBy() time.Duration { return t.Next + safetyFactor*(t.Queue+t.Gap) }
+func (t Turn) BackoffWaitLimit() time.Duration { return t.Next + safetyFactor*(t.Queue+t.Gap) }
 
 // MayWaitForPermit reports whether a request waits for a permit: only if the permit is
 // sure to come in time. A late request does not take a permit that others need.
 func MayWaitForPermit(r Request, t Turn) bool {
-	return r.Urgency() == Punctual && t.total()*safetyFactor < r.PermitWait()
+	return r.Urgency() == OnTime && t.total()*safetyFactor < r.PermitWait()
 }
 
-// MayWaitForRest reports whether a request waits for the end of a backoff, even if it
+// MayWaitForBackoff reports whether a request waits for the end of a backoff, even if it
 // becomes late: only if it is expected to be sent in half of the time until its caller
 // leaves, since the server may ask for another backoff.
-func MayWaitForRest(r Request, t Turn) bool {
+func MayWaitForBackoff(r Request, t Turn) bool {
 	return r.Urgency() != Hopeless && t.total()*safetyFactor < r.PlacesBefore()
 }
 
-// MayStayForRest reports whether a request that already waits for the end of a backoff
+// MayKeepWaitingForBackoff reports whether a request that already waits for the end of a backoff
 // goes on waiting: unless a new backoff lasts longer than its caller waits.
-func MayStayForRest(r Request, t Turn) bool {
+func MayKeepWaitingForBackoff(r Request, t Turn) bool {
 	return r.Urgency() != Hopeless && t.Next < r.PlacesBefore()
 }
 
@@ -118,8 +118,8 @@
 	return p.pause(t, 0, draw, now)
 }
 
-// PauseAfterRest is like Pause if no request is served before the end of a backoff.
-func (p *PermitPacer) PauseAfterRest(t Turn, draw float64, now time.Time) time.Duration {
+// PauseAfterBackoff is like Pause if no request is served before the end of a backoff.
+func (p *PermitPacer) PauseAfterBackoff(t Turn, draw float64, now time.Time) time.Duration {
 	return p.pause(t, t.Next, draw, now)
 }
 
--- a/entry/admission/line_test.go
+++ b/entry/admission/line_test.go
@@ -101,8 +101,8 @@
 			is := is.New(t)
 			r := request
 			r.Age = c.age
-			is.Equal(MayWaitForRest(r, c.wait), c.want)
-			is.Equal(MayStayForRest(r, c.wait), c.keep)
+			is.Equal(MayWaitForBackoff(r, c.wait), c.want)
+			is.Equal(MayKeepWaitingForBackoff(r, c.wait), c.keep)
 		})
 	}
 }
@@ -115,12 +115,12 @@
 	now := time.Unix(0, 0)
 	estimate := Turn{Next: 8 * time.Second, Gap: 250 * ms}
 	for i := range 10 {
-		is.Equal(p.PauseAfterRest(estimate, 0, now), estimate.Next+time.Duration(i)*estimate.Gap)
+		is.Equal(p.PauseAfterBackoff(estimate, 0, now), estimate.Next+time.Duration(i)*estimate.Gap)
 	}
 	for range 100 {
-		pause := p.PauseAfterRest(estimate, 0.9, now)
+		pause := p.PauseAfterBackoff(estimate, 0.9, now)
 		is.True(pause >= estimate.Next)
 		is.True(pause <= estimate.Next+maxRetryAfter)
 	}
-	is.True(p.PauseAfterRest(Turn{Next: 24 * time.Hour, Gap: ms}, 0, now) >= 24*time.Hour)
+	is.True(p.PauseAfterBackoff(Turn{Next: 24 * time.Hour, Gap: ms}, 0, now) >= 24*time.Hour)
 }
--- a/entry/admission/room.go
+++ b/entry/admission/room.go
@@ -8,16 +8,16 @@
 	// Slots is the number of requests that the servers run concurrently, Members the
 	// number of processes that share them.
 	Slots, Members int
-	// PunctualRate is the number of requests per second that arrive at this process and
+	// OnTimeRate is the number of requests per second that arrive at this process and
 	// can be on time.
-	PunctualRate float64
+	OnTimeRate float64
 	// Stay is the expected time for which a request occupies a slot.
 	Stay time.Duration
 }
 
-// LateRoom returns how many late requests this process may have at the servers at a time:
+// LateQuota returns how many late requests this process may have at the servers at a time:
 // its share of the slots less those that on-time arrivals occupy according to Little's
 // law. A value of 0 or less means none.
-func LateRoom(p Places) float64 {
-	return float64(p.Slots)/float64(max(1, p.Members)) - p.PunctualRate*p.Stay.Seconds()
+func LateQuota(p Places) float64 {
+	return float64(p.Slots)/float64(max(1, p.Members)) - p.OnTimeRate*p.Stay.Seconds()
 }
--- a/entry/admission/stand.go
+++ b/entry/admission/stand.go
@@ -22,17 +22,17 @@
 	outageExpiry = 3 * time.Second
 )
 
-// Stand tracks the outages of a service, during which it serves no request. It is not
+// Outage tracks the outages of a service, during which it serves no request. It is not
 // safe for concurrent use.
-type Stand struct {
+type Outage struct {
 	since time.Time // start of the outage, zero = there is none
 	seen  time.Time // latest observation of the outage
 	usual time.Duration
 }
 
-// Stands records that the service serves no request, and reports whether an outage has
+// Observe records that the service serves no request, and reports whether an outage has
 // begun.
-func (s *Stand) Stands(now time.Time) bool {
+func (s *Outage) Observe(now time.Time) bool {
 	begins := s.since.IsZero() || now.Sub(s.seen) > outageExpiry
 	if begins {
 		s.since = now
@@ -43,7 +43,7 @@
 
 // Served records an answer and updates the usual length of an outage if one has ended by
 // it. It returns the length of that outage, 0 = there was none.
-func (s *Stand) Served(now time.Time) time.Duration {
+func (s *Outage) Served(now time.Time) time.Duration {
 	if s.since.IsZero() {
 		return 0
 	}
@@ -57,8 +57,8 @@
 	return length
 }
 
-// Back returns the expected time until the service serves again, 0 = there is no outage.
-func (s *Stand) Back(now time.Time) time.Duration {
+// RecoversIn returns the expected time until the service serves again, 0 = there is no outage.
+func (s *Outage) RecoversIn(now time.Time) time.Duration {
 	if s.since.IsZero() {
 		return 0
 	}
--- a/entry/admission/urgency.go
+++ b/entry/admission/urgency.go
@@ -23,7 +23,7 @@
 
 // Urgencies, in the order in which they are served.
 const (
-	Punctual Urgency = iota + 1 // an answer can still begin on time
+	OnTime   Urgency = iota + 1 // an answer can still begin on time
 	Late                        // it can still begin before the caller leaves
 	Hopeless                    // it cannot begin before the caller leaves
 )
@@ -41,16 +41,16 @@
 	switch {
 	case r.Age+r.FirstAnswer >= r.Limit:
 		return Hopeless
-	case r.Interrupted || r.Objective > 0 && r.Spare() <= 0:
+	case r.Interrupted || r.Objective > 0 && r.Slack() <= 0:
 		return Late
 	default:
-		return Punctual
+		return OnTime
 	}
 }
 
-// Spare returns for how long the request may wait and still be on time. It is negative if
+// Slack returns for how long the request may wait and still be on time. It is negative if
 // the request can no longer be on time, and 0 for a request without an objective.
-func (r Request) Spare() time.Duration {
+func (r Request) Slack() time.Duration {
 	if r.Objective == 0 {
 		return 0
 	}
--- a/entry/admission/wait.go
+++ b/entry/admission/wait.go
@@ -7,13 +7,13 @@
 
 // Situation is the state of a service as seen by this process.
 type Situation struct {
-	// Back is the expected time until the service serves again, 0 = there is no outage.
-	Back time.Duration
+	// RecoversIn is the expected time until the service serves again, 0 = there is no outage.
+	RecoversIn time.Duration
 	// Waiting is the number of late requests that wait at this process.
 	Waiting int
-	// Room is the maximum number of concurrent late requests at the servers, Taken the
+	// Quota is the maximum number of concurrent late requests at the servers, Taken the
 	// number that are in flight.
-	Room  float64
+	Quota float64
 	Taken int
 	// Stay is the expected time for which a request occupies a slot.
 	Stay time.Duration
@@ -31,19 +31,19 @@
 		return never
 	}
 	taken := s.Taken
-	if s.Back > 0 {
+	if s.RecoversIn > 0 {
 		taken = 0 // an outage ends all requests in flight
 	}
-	before := max(0, float64(s.Waiting+taken+1)-s.Room)
-	return s.Back + bounded(before*float64(gap))
+	before := max(0, float64(s.Waiting+taken+1)-s.Quota)
+	return s.RecoversIn + bounded(before*float64(gap))
 }
 
 // slotInterval returns the expected time between two slots for late requests.
 func (s Situation) slotInterval() time.Duration {
-	if s.Room <= 0 {
+	if s.Quota <= 0 {
 		return never
 	}
-	return bounded(float64(s.Stay) / s.Room)
+	return bounded(float64(s.Stay) / s.Quota)
 }
 
 // maxWait is the value to which expected waits are cut, far longer than any real wait.
@@ -66,12 +66,12 @@
 	switch {
 	case urgency == Hopeless:
 		return false
-	case urgency == Punctual && s.Back <= 0:
+	case urgency == OnTime && s.RecoversIn <= 0:
 		return true
-	case urgency == Punctual && s.Back < r.Spare():
+	case urgency == OnTime && s.RecoversIn < r.Slack():
 		return true
-	case r.Interrupted && s.Back > 0:
-		return s.Back/safetyFactor < r.PlacesBefore() // the slots are free when the outage ends
+	case r.Interrupted && s.RecoversIn > 0:
+		return s.RecoversIn/safetyFactor < r.PlacesBefore() // the slots are free when the outage ends
 	case delay == never:
 		return false
 	case r.Interrupted:
--- a/entry/api/entries.go
+++ b/entry/api/entries.go
@@ -67,7 +67,7 @@
 	subset := slices.Clone(a.subset(service))
 	// Callers keep the order; without a shuffle all callers of a zone would use the same VM.
 	mathrand.Shuffle(len(subset), func(i, j int) { subset[i], subset[j] = subset[j], subset[i] })
-	slices.SortStableFunc(subset, func(x, y vm.VM) int { return zone.Rank(near, x.Zone) - zone.Rank(near, y.Zone) })
+	slices.SortStableFunc(subset, func(x, y vm.VM) int { return zone.Distance(near, x.Zone) - zone.Distance(near, y.Zone) })
 	for _, v := range subset {
 		answer.Entries = append(answer.Entries, Entry{VM: v.ID, Zone: v.Zone, Address: v.HTTP})
 	}
@@ -150,7 +150,7 @@
 	for i, v := range out {
 		zones[i] = v.Zone
 	}
-	if zone.Spread(zones) > 1 {
+	if zone.CountDistinct(zones) > 1 {
 		return out
 	}
 	for _, v := range order[size:] {
--- a/entry/api/requests.go
+++ b/entry/api/requests.go
@@ -217,7 +217,7 @@
 }
 
 // Head implements dispatch.Sink.
-func (s *responseSink) Head(status int, headers []*wire.Header, at dispatch.Place) error {
+func (s *responseSink) Head(status int, headers []*wire.Header, at dispatch.AttemptLocation) error {
 	h := s.w.Header()
 	hasLength := false
 	for _, f := range headers {
--- a/entry/api/resume.go
+++ b/entry/api/resume.go
@@ -49,26 +49,26 @@
 }
 
 // formatPlace writes a place as vm/incarnation/request/attempt.
-func formatPlace(p dispatch.Place) string {
+func formatPlace(p dispatch.AttemptLocation) string {
 	return fmt.Sprintf("%s/%d/%s/%d", p.VM, p.Incarnation, p.Attempt.Request, p.Attempt.Number)
 }
 
 // parsePlace parses the result of formatPlace.
-func parsePlace(s string) (dispatch.Place, error) {
+func parsePlace(s string) (dispatch.AttemptLocation, error) {
 	parts := strings.Split(s, "/")
 	errPlace := fmt.Errorf("header %s: value %q, allowed: that of the answer's head", HeaderAttempt, s)
 	if len(parts) != 4 {
-		return dispatch.Place{}, errPlace
+		return dispatch.AttemptLocation{}, errPlace
 	}
 	incarnation, err := strconv.ParseUint(parts[1], 10, 64)
 	if err != nil {
-		return dispatch.Place{}, errPlace
+		return dispatch.AttemptLocation{}, errPlace
 	}
 	number, err := strconv.ParseUint(parts[3], 10, 32)
 	if err != nil {
-		return dispatch.Place{}, errPlace
+		return dispatch.AttemptLocation{}, errPlace
 	}
-	return dispatch.Place{
+	return dispatch.AttemptLocation{
 		VM: vm.ID(parts[0]), Incarnation: vm.Incarnation(incarnation),
 		Attempt: contract.AttemptID{Request: contract.RequestID(parts[2]), Number: uint32(number)},
 	}, nil
--- a/entry/backend/backend.go
+++ b/entry/backend/backend.go
@@ -34,7 +34,7 @@
 	suspect     bool
 	draining    bool
 	revision    uint64
-	backoff     Closed
+	backoff     Backoff
 	alive       context.Context
 	cancelAlive context.CancelFunc
 }
@@ -59,8 +59,8 @@
 	return b.vm.State == vm.StateLive && !b.suspect && !b.draining
 }
 
-// Closed describes a period in which a backend server gets no requests.
-type Closed struct {
+// Backoff describes a period in which a backend server gets no requests.
+type Backoff struct {
 	// Until is when the next request may be sent to it. During a backoff this can be
 	// before Ends, because another process may have replaced the backend server.
 	Until time.Time
@@ -73,10 +73,10 @@
 // another process may have replaced it.
 const maxBackoff = time.Second
 
-// Close records that the backend server accepts no requests for the given time.
-func (b *Backend) Close(reason contract.Reason, left time.Duration, now time.Time) Closed {
-	c := Closed{Until: now.Add(left), Ends: now.Add(left), Reason: reason}
-	if reason == contract.ReasonRest {
+// SetBackoff records that the backend server accepts no requests for the given time.
+func (b *Backend) SetBackoff(reason contract.Reason, left time.Duration, now time.Time) Backoff {
+	c := Backoff{Until: now.Add(left), Ends: now.Add(left), Reason: reason}
+	if reason == contract.ReasonBackoff {
 		c.Until = now.Add(min(left, maxBackoff))
 	}
 	b.mu.Lock()
@@ -85,9 +85,9 @@
 	return c
 }
 
-// Closed returns the latest period in which the backend server gets no requests; it lies in
+// Backoff returns the latest period in which the backend server gets no requests; it lies in
 // the past if requests are accepted.
-func (b *Backend) Closed() Closed {
+func (b *Backend) Backoff() Backoff {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.backoff
@@ -140,7 +140,7 @@
 	if b.incarnation != l.Incarnation {
 		b.incarnation = l.Incarnation
 		b.draining = false
-		b.backoff = Closed{}
+		b.backoff = Backoff{}
 	}
 }
 
--- a/entry/backend/directory.go
+++ b/entry/backend/directory.go
@@ -40,11 +40,11 @@
 	Runners  []*routing.Runner
 }
 
-// Open returns the backend servers that accept requests at the given time. If none does, it
+// Available returns the backend servers that accept requests at the given time. If none does, it
 // also returns the period without requests that ends first.
-func (c Choice) Open(now time.Time) (open Choice, next Closed) {
+func (c Choice) Available(now time.Time) (open Choice, next Backoff) {
 	for i, b := range c.Backends {
-		if backoff := b.Closed(); backoff.Until.After(now) {
+		if backoff := b.Backoff(); backoff.Until.After(now) {
 			if next.Reason == "" || backoff.Ends.Before(next.Ends) {
 				next = backoff
 			}
@@ -55,11 +55,11 @@
 	}
 	switch len(open.Backends) {
 	case len(c.Backends):
-		return c, Closed{}
+		return c, Backoff{}
 	case 0:
 		return open, next
 	default:
-		return open, Closed{}
+		return open, Backoff{}
 	}
 }
 
@@ -243,7 +243,7 @@
 	var out []*Backend
 	for _, b := range d.all() {
 		v := b.VM()
-		if _, open := d.pool.Open(v.ID); !open && slices.ContainsFunc(v.Services, wanted) {
+		if _, open := d.pool.Lookup(v.ID); !open && slices.ContainsFunc(v.Services, wanted) {
 			out = append(out, b)
 		}
 	}
--- a/entry/balance/demand.go
+++ b/entry/balance/demand.go
@@ -44,11 +44,11 @@
 const (
 	Available   Availability = iota + 1
 	AllBusy                  // there are usable servers, but the wait at each is too long
-	Standing                 // there are usable servers, but most of those with a known gap are stalled
+	Stalled                  // there are usable servers, but most of those with a known gap are stalled
 	Limited                  // there are usable servers, but all have reached their limit
 	Unavailable              // no server may take the request now
 	Evacuated                // all servers are in evacuated availability zones
-	Resting                  // all servers that take requests are in a backoff or the ramp-up after one
+	InBackoff                // all servers that take requests are in a backoff or the ramp-up after one
 	Leaving                  // all servers drain
 )
 
@@ -115,11 +115,11 @@
 	if d.Again {
 		s.candidates = preferUnlimited(s.candidates)
 	}
-	load.Resting += rampUp
+	load.InBackoff += rampUp
 	s.arrivals.note(now)
 	switch {
 	case 2*stalled > known:
-		return Choice{Load: load}, Standing
+		return Choice{Load: load}, Stalled
 	case d.Late && len(s.candidates) > 0 && float64(s.late.Load()+1) > s.lateQuota(load, d, r.peers.Members(), now):
 		return Choice{Load: load}, AllBusy
 	case len(s.candidates) > 0:
@@ -131,8 +131,8 @@
 		return Choice{Load: load}, Limited
 	case s.fullOnly(d, now):
 		return Choice{Load: load}, AllBusy
-	case load.Resting > 0 && rampUp == len(s.usable):
-		return Choice{Load: load}, Resting
+	case load.InBackoff > 0 && rampUp == len(s.usable):
+		return Choice{Load: load}, InBackoff
 	case s.allEvacuated():
 		return Choice{Load: load}, Evacuated
 	case s.allDrain():
@@ -149,7 +149,7 @@
 		return false
 	}
 	for _, server := range s.servers {
-		left := server.full.until.After(now) && !server.withdrawn() && !server.health.ejected(now) && !server.Rests(now)
+		left := server.full.until.After(now) && !server.withdrawn() && !server.health.ejected(now) && !server.HasBackoff(now)
 		if left && !d.Exclude[server.ID] {
 			return true
 		}
@@ -204,7 +204,7 @@
 		server.health.trial = true
 	}
 	server.inFlight.Add(1)
-	c := Choice{Server: server, InFlight: inFlight, Pace: s.knownGap(i, clock.Now()), Load: load}
+	c := Choice{Server: server, InFlight: inFlight, StreamGap: s.knownGap(i, clock.Now()), Load: load}
 	if d.Late {
 		s.late.Add(1)
 		c.late = &s.late
--- a/entry/balance/late.go
+++ b/entry/balance/late.go
@@ -16,7 +16,7 @@
 
 // Late is the quota and the usage of a service's late requests at one gateway.
 type Late struct {
-	Room  float64       // maximum number of concurrent late requests
+	Quota float64       // maximum number of concurrent late requests
 	Taken int           // late requests in flight
 	Stay  time.Duration // expected time for which a request occupies a slot
 }
@@ -32,11 +32,11 @@
 			load.Slots += server.Slots // including stalled servers, which are expected to recover
 		}
 	}
-	return Late{Room: s.lateQuota(load, d, r.peers.Members(), now), Taken: int(s.late.Load()), Stay: s.serviceTime(d)}
+	return Late{Quota: s.lateQuota(load, d, r.peers.Members(), now), Taken: int(s.late.Load()), Stay: s.serviceTime(d)}
 }
 
 func (s *shard) lateQuota(load Load, d Demand, members int, now time.Time) float64 {
-	return admission.LateRoom(admission.Places{
-		Slots: load.Slots, Members: members, PunctualRate: s.onTime.rateAt(now), Stay: s.serviceTime(d),
+	return admission.LateQuota(admission.Places{
+		Slots: load.Slots, Members: members, OnTimeRate: s.onTime.rateAt(now), Stay: s.serviceTime(d),
 	})
 }
--- a/entry/balance/limit.go
+++ b/entry/balance/limit.go
@@ -17,7 +17,7 @@
 	Limited() int
 	// Opens returns the earliest time at which a request to the server with the key may
 	// get a permit; false if there is no limit with this key.
-	Opens(server ratelimit.Key) (at time.Time, limit ratelimit.Known, limited bool)
+	Opens(server ratelimit.Key) (at time.Time, limit ratelimit.KnownLimit, limited bool)
 }
 
 // LimitBy sets the source of the limits. It must be called before any other method.
@@ -69,8 +69,8 @@
 	Open int
 	// Next is the time until the first of the others may get a request.
 	Next time.Duration
-	// Resting is the number of servers in a backoff or the ramp-up after one.
-	Resting int
+	// InBackoff is the number of servers in a backoff or the ramp-up after one.
+	InBackoff int
 	// PerSecond is the sum of the limits and of the service rates of servers in a backoff
 	// or ramp-up; infinite if a server has none of these.
 	PerSecond float64
@@ -95,7 +95,7 @@
 				perSecond = float64(max(1, server.Slots)) / s.usualServiceTime().Seconds()
 			}
 			limited = true
-			out.Resting++
+			out.InBackoff++
 		}
 		wait := at.Sub(now)
 		switch {
--- a/entry/balance/limit_test.go
+++ b/entry/balance/limit_test.go
@@ -20,9 +20,9 @@
 
 func (l fixedLimits) Limited() int { return len(l) }
 
-func (l fixedLimits) Opens(server ratelimit.Key) (time.Time, ratelimit.Known, bool) {
+func (l fixedLimits) Opens(server ratelimit.Key) (time.Time, ratelimit.KnownLimit, bool) {
 	one, limited := l[server]
-	return one.opens, ratelimit.Known{Statement: ratelimit.Statement{Server: server, Limit: one.perSecond, Limited: limited}}, limited
+	return one.opens, ratelimit.KnownLimit{Observation: ratelimit.Observation{Server: server, Limit: one.perSecond, Limited: limited}}, limited
 }
 
 // limitedRegistry returns a registry with one server per wait, which is the time until
--- a/entry/balance/pace.go
+++ b/entry/balance/pace.go
@@ -31,9 +31,9 @@
 	lateCost = 1.0
 )
 
-// Pace tracks the streams of a server and the gaps between their events. It is safe for
+// StreamGap tracks the streams of a server and the gaps between their events. It is safe for
 // concurrent use.
-type Pace struct {
+type StreamGap struct {
 	mu        sync.Mutex
 	gap       time.Duration // smoothed
 	at        time.Time     // time of the latest event
@@ -45,7 +45,7 @@
 
 // Sent records that a stream was sent to the server. A call of Answered must follow on
 // its first event, or when it ends without one.
-func (p *Pace) Sent(now time.Time) {
+func (p *StreamGap) Sent(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.waiting == 0 {
@@ -55,14 +55,14 @@
 }
 
 // Answered records that a sent stream has begun, or ended without an event.
-func (p *Pace) Answered() {
+func (p *StreamGap) Answered() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.waiting--
 }
 
 // Begun records the first event of a stream.
-func (p *Pace) Begun(now time.Time) {
+func (p *StreamGap) Begun(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.streams++
@@ -70,7 +70,7 @@
 }
 
 // Event records a further event and the gap between it and the one before it.
-func (p *Pace) Event(gap time.Duration, now time.Time) {
+func (p *StreamGap) Event(gap time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	gap = min(gap, stallThreshold/2) // the length of a stall tells nothing about the gaps after it
@@ -82,14 +82,14 @@
 }
 
 // Formed discards the measurements from before the server's group was formed.
-func (p *Pace) Formed() {
+func (p *StreamGap) Formed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.gap, p.stalledAt = 0, time.Time{}
 }
 
 // Ended records the end of a stream that had begun.
-func (p *Pace) Ended() {
+func (p *StreamGap) Ended() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.streams--
@@ -97,7 +97,7 @@
 
 // Gap returns the expected gap between events of a stream, 0 = unknown. A gap that has
 // not ended counts as soon as it exceeds the smoothed one.
-func (p *Pace) Gap(now time.Time) time.Duration {
+func (p *StreamGap) Gap(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	since := now.Sub(p.at)
@@ -121,7 +121,7 @@
 }
 
 // latest returns the time since which no event has arrived for the waiting streams.
-func (p *Pace) latest() time.Time {
+func (p *StreamGap) latest() time.Time {
 	if p.at.After(p.since) {
 		return p.at
 	}
@@ -135,7 +135,7 @@
 	if reported >= stallThreshold && now.Sub(s.usable[i].probation.formedAt) < recoveryReportMaxAge {
 		reported = 0 // reported before its group was formed
 	}
-	return max(reported, s.usable[i].Pace.Gap(now))
+	return max(reported, s.usable[i].StreamGap.Gap(now))
 }
 
 // longestGap returns the longest known gap among the usable servers that are not stalled.
--- a/entry/balance/pace_test.go
+++ b/entry/balance/pace_test.go
@@ -18,9 +18,9 @@
 	r := registry(nil, "a")
 	server := r.shard("s").servers["a"]
 	long := func(gap time.Duration, now time.Time) {
-		server.Pace = Pace{}
-		server.Pace.Begun(now)
-		server.Pace.Event(gap, now)
+		server.StreamGap = StreamGap{}
+		server.StreamGap.Begun(now)
+		server.StreamGap.Event(gap, now)
 	}
 	stream := Demand{Service: "s", GapTarget: 120 * time.Millisecond, MostWait: time.Second, HoldAt: 90 * time.Millisecond}
 	availability := func(d Demand, now time.Time) Availability {
@@ -69,8 +69,8 @@
 		is.True(c.Server.ID != "0")
 	}
 	servers := one.shard("s").servers
-	is.True(one.Spared(servers["0"]))
-	is.True(!one.Spared(servers["1"]))
+	is.True(one.TooSlow(servers["0"]))
+	is.True(!one.TooSlow(servers["1"]))
 	_, found := one.Pick(stream, start)
 	is.Equal(found, AllBusy) // rather than making all streams late
 	c, found := one.Pick(Demand{Service: "s", MostWait: time.Millisecond}, start)
@@ -82,7 +82,7 @@
 		_, found := all.Pick(stream, start)
 		is.Equal(found, Available)
 	}
-	is.True(!all.Spared(all.shard("s").servers["0"])) // no server is better
+	is.True(!all.TooSlow(all.shard("s").servers["0"])) // no server is better
 }
 
 func TestASlightlySlowRankGetsFewerStreams(t *testing.T) {
@@ -103,7 +103,7 @@
 func TestGapOfAStalledServer(t *testing.T) {
 	is := is.New(t)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	var p Pace
+	var p StreamGap
 	p.Begun(at(0))
 	p.Event(60*time.Millisecond, at(60))
 	p.Sent(at(100))
@@ -125,18 +125,18 @@
 	r := registry(nil, "a", "b", "c")
 	servers := r.shard("s").servers
 	stream := Demand{Service: "s", GapTarget: 120 * time.Millisecond}
-	servers["a"].Pace.Sent(start)
-	servers["b"].Pace.Sent(start)
+	servers["a"].StreamGap.Sent(start)
+	servers["b"].StreamGap.Sent(start)
 	c, found := r.Pick(stream, start)
 	is.Equal(found, Available) // the waiting time is still below the threshold
 	c.Release()
 	later := start.Add(stallThreshold)
 	_, found = r.Pick(stream, later)
-	is.Equal(found, Standing) // although the gap of c is unknown
+	is.Equal(found, Stalled) // although the gap of c is unknown
 	_, found = r.Pick(Demand{Service: "s"}, later)
 	is.Equal(found, Available) // not a stream
-	servers["a"].Pace.Begun(later)
-	servers["a"].Pace.Event(60*time.Millisecond, later)
+	servers["a"].StreamGap.Begun(later)
+	servers["a"].StreamGap.Event(60*time.Millisecond, later)
 	c, found = r.Pick(stream, later)
 	is.Equal(found, Available) // one of the two is no longer stalled
 	is.True(c.Server.ID != "b")
--- a/entry/balance/probation.go
+++ b/entry/balance/probation.go
@@ -177,7 +177,7 @@
 	p.formedAt = formedAt[0]
 	p.probePassed, p.suspectSince = true, time.Time{}
 	server.full = overloadState{}
-	server.Pace.Formed()
+	server.StreamGap.Formed()
 	server.slowStart = now
 	r.log.Info().Str("server", server.ID).Str("service", server.Service).Time("formed", formedAt[0]).Msg("group of ranks formed")
 }
@@ -199,7 +199,7 @@
 		probation := s.onProbation(now)
 		left := s.probes.take(r.probesPerInterval(len(s.servers)), now)
 		for _, server := range s.servers { // in random order
-			if server.trusted(probation, now) || server.withdrawn() || server.Rests(now) {
+			if server.trusted(probation, now) || server.withdrawn() || server.HasBackoff(now) {
 				continue
 			}
 			p := &server.probation
@@ -276,7 +276,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	server.full = overloadState{}
-	if !server.Rests(now) {
+	if !server.HasBackoff(now) {
 		server.rampUp.accepted(server.Slots)
 	}
 	p := &server.probation
--- a/entry/balance/probation_test.go
+++ b/entry/balance/probation_test.go
@@ -55,26 +55,26 @@
 	half := start.Add(slowStartTime / 2)
 	_, found = r.Pick(lateStreams, half)
 	is.Equal(found, AllBusy) // the gap is not known yet
-	a.Pace.Begun(half)
-	a.Pace.Event(60*time.Millisecond, half)
+	a.StreamGap.Begun(half)
+	a.StreamGap.Event(60*time.Millisecond, half)
 	c, found := r.Pick(lateStreams, half)
 	is.Equal(found, Available)
 	c.Release()
-	a.Pace = Pace{}
-	a.Pace.Begun(half)
-	a.Pace.Event(92*time.Millisecond, half)
+	a.StreamGap = StreamGap{}
+	a.StreamGap.Begun(half)
+	a.StreamGap.Event(92*time.Millisecond, half)
 	_, found = r.Pick(lateStreams, half)
 	is.Equal(found, AllBusy)
 	_, found = r.Pick(streams, half)
 	is.Equal(found, Available)
-	a.Pace = Pace{}
-	a.Pace.Begun(half)
-	a.Pace.Event(110*time.Millisecond, half)
+	a.StreamGap = StreamGap{}
+	a.StreamGap.Begun(half)
+	a.StreamGap.Event(110*time.Millisecond, half)
 	_, found = r.Pick(streams, half)
 	is.Equal(found, AllBusy) // passes are too long for more streams
-	a.Pace = Pace{}
-	a.Pace.Begun(start.Add(slowStartTime))
-	a.Pace.Event(110*time.Millisecond, start.Add(slowStartTime))
+	a.StreamGap = StreamGap{}
+	a.StreamGap.Begun(start.Add(slowStartTime))
+	a.StreamGap.Event(110*time.Millisecond, start.Add(slowStartTime))
 	_, found = r.Pick(streams, start.Add(slowStartTime))
 	is.Equal(found, Available)
 }
@@ -91,16 +91,16 @@
 	_, found := r.Pick(d, start)
 	is.Equal(found, Available) // no gap is known
 	a := r.shard("s").servers["a"]
-	a.Pace.Begun(start)
-	a.Pace.Event(110*time.Millisecond, start)
+	a.StreamGap.Begun(start)
+	a.StreamGap.Event(110*time.Millisecond, start)
 	_, found = r.Pick(d, start)
 	is.Equal(found, AllBusy)
 	d.HoldAt = 90 * time.Millisecond
-	a.Pace.Ended()
+	a.StreamGap.Ended()
 	_, found = r.Pick(d, start.Add(slowStartTime))
 	is.Equal(found, Available) // the known gap has expired
-	a.Pace.Begun(start.Add(slowStartTime))
-	a.Pace.Event(110*time.Millisecond, start.Add(slowStartTime))
+	a.StreamGap.Begun(start.Add(slowStartTime))
+	a.StreamGap.Event(110*time.Millisecond, start.Add(slowStartTime))
 	_, found = r.Pick(d, start.Add(slowStartTime))
 	is.Equal(found, AllBusy)
 }
@@ -156,9 +156,9 @@
 	r.Update(infos("a", "b", "c"), at(1), 0, start)
 	d := Demand{Service: "s", GapTarget: 120 * time.Millisecond, MostWait: 200 * time.Millisecond}
 	for _, server := range r.shard("s").servers {
-		server.Pace.Sent(start.Add(-time.Second))
-		is.True(server.Pace.Gap(start) >= stallThreshold)
-		server.Pace.Answered()
+		server.StreamGap.Sent(start.Add(-time.Second))
+		is.True(server.StreamGap.Gap(start) >= stallThreshold)
+		server.StreamGap.Answered()
 		r.Rejected(server, start)
 	}
 	_, found := r.Pick(d, start.Add(minOverloadPause))
--- a/entry/balance/registry.go
+++ b/entry/balance/registry.go
@@ -32,8 +32,8 @@
 type PeerLoad interface {
 	// Load fills out with the load that peers put on each of the servers.
 	Load(servers []uint32, out []cluster.Load)
-	// Pace fills out with the slowdown of ranks by engine key, 1 = normal speed.
-	Pace(engines []uint32, out []float64)
+	// Slowdowns fills out with the slowdown of ranks by engine key, 1 = normal speed.
+	Slowdowns(engines []uint32, out []float64)
 	// Formed fills out with the times at which the groups of ranks were formed, by engine
 	// key; zero = not recently.
 	Formed(engines []uint32, out []time.Time)
@@ -145,13 +145,13 @@
 			server.evacuated = r.isEvacuated(info.Zone)
 			s.servers[info.ID] = server
 			r.log.Info().Str("server", info.ID).Str("service", info.Service).Str("address", info.Address).
-				Uint64("era", at.Era).Uint64("revision", at.Revision).Uint64("started", info.Started).Bool("draining", server.drains()).Msg("backend server listed")
+				Uint64("era", at.Term).Uint64("revision", at.Revision).Uint64("started", info.Started).Bool("draining", server.drains()).Msg("backend server listed")
 			continue
 		}
 		old.missingUntil = time.Time{}
 		if info.Draining && old.noticeState.Leave(notice.FromEntry) {
 			r.log.Info().Str("server", info.ID).Str("source", string(notice.FromEntry)).
-				Uint64("era", at.Era).Uint64("revision", at.Revision).Msg("backend server drains")
+				Uint64("era", at.Term).Uint64("revision", at.Revision).Msg("backend server drains")
 		}
 	}
 	for id, server := range s.servers {
@@ -165,7 +165,7 @@
 func (r *Registry) handleMissing(s *shard, server *Server, at source.Position, gracePeriod time.Duration, now time.Time) {
 	if server.missingUntil.IsZero() && gracePeriod > 0 && !server.drains() {
 		server.missingUntil = now.Add(gracePeriod)
-		r.log.Info().Str("server", server.ID).Uint64("era", at.Era).Uint64("revision", at.Revision).Dur("for", gracePeriod).
+		r.log.Info().Str("server", server.ID).Uint64("era", at.Term).Uint64("revision", at.Revision).Dur("for", gracePeriod).
 			Msg("backend server missing after an outage of the source")
 	}
 	if now.Before(server.missingUntil) {
@@ -173,7 +173,7 @@
 	}
 	delete(s.servers, server.ID)
 	r.remove(server, now)
-	r.log.Info().Str("server", server.ID).Str("service", server.Service).Uint64("era", at.Era).Uint64("revision", at.Revision).
+	r.log.Info().Str("server", server.ID).Str("service", server.Service).Uint64("era", at.Term).Uint64("revision", at.Revision).
 		Msg("backend server no longer listed")
 }
 
@@ -231,7 +231,7 @@
 		s.mu.Lock()
 		for _, server := range s.servers {
 			if n := server.InFlight(); n > 0 {
-				out[server.Key] = cluster.Load{Requests: n, Gap: server.Pace.Gap(now)}
+				out[server.Key] = cluster.Load{Requests: n, Gap: server.StreamGap.Gap(now)}
 			}
 		}
 		s.mu.Unlock()
@@ -241,12 +241,12 @@
 
 // Load is the state of a service's servers as one gateway sees it.
 type Load struct {
-	Servers  int // that may take requests
-	AtLimit  int // those of Servers that are left out because they reached their limit
-	Resting  int // servers left out because of a backoff or the ramp-up after it
-	Slots    int // total of Servers
-	InFlight int // requests of all gateways to Servers
-	Own      int // part of InFlight that is from this gateway
+	Servers   int // that may take requests
+	AtLimit   int // those of Servers that are left out because they reached their limit
+	InBackoff int // servers left out because of a backoff or the ramp-up after it
+	Slots     int // total of Servers
+	InFlight  int // requests of all gateways to Servers
+	Own       int // part of InFlight that is from this gateway
 }
 
 // Choice is a picked server with the load that the pick was based on.
@@ -255,9 +255,9 @@
 	// InFlight is the number of requests of all gateways to the server, excluding this
 	// one.
 	InFlight int
-	// Pace is the expected gap between events of a stream, 0 = unknown.
-	Pace time.Duration
-	Load Load
+	// StreamGap is the expected gap between events of a stream, 0 = unknown.
+	StreamGap time.Duration
+	Load      Load
 
 	late   *atomic.Int32 // this gateway's late requests to the service, nil if the request is not late
 	rampUp *atomic.Int32 // requests sent during the ramp-up after a backoff, nil if there is none
@@ -290,7 +290,7 @@
 	probation := s.onProbation(now)
 	inBackoff := 0
 	for _, server := range s.servers {
-		if server.eligible(now) && server.Rests(now) {
+		if server.eligible(now) && server.HasBackoff(now) {
 			inBackoff++
 		}
 		if server.usable(now) && server.trusted(probation, now) {
@@ -302,14 +302,14 @@
 	s.peers = append(s.peers[:0], make([]cluster.Load, len(s.keys))...)
 	r.peers.Load(s.keys, s.peers)
 	s.slowdowns = append(s.slowdowns[:0], make([]float64, len(s.keys))...)
-	r.peers.Pace(s.engines, s.slowdowns)
+	r.peers.Slowdowns(s.engines, s.slowdowns)
 	s.slow = 0
 	for _, slowdown := range s.slowdowns {
 		if slowdown >= slowAt {
 			s.slow++
 		}
 	}
-	load := Load{Servers: len(s.usable), Resting: inBackoff}
+	load := Load{Servers: len(s.usable), InBackoff: inBackoff}
 	for i, server := range s.usable {
 		own := server.InFlight()
 		load.Slots += server.Slots
@@ -389,8 +389,8 @@
 
 // Errors returned by Admits.
 var (
-	ErrLeaving = eris.New("balance: backend server takes no new requests")
-	ErrResting = eris.New("balance: backend server is in backoff")
+	ErrLeaving   = eris.New("balance: backend server takes no new requests")
+	ErrInBackoff = eris.New("balance: backend server is in backoff")
 )
 
 // Admits returns an error if a request that was already assigned to the server must no
@@ -404,8 +404,8 @@
 	switch {
 	case server.withdrawn() || server.gone:
 		return ErrLeaving
-	case server.Rests(now):
-		return ErrResting
+	case server.HasBackoff(now):
+		return ErrInBackoff
 	default:
 		return nil
 	}
--- a/entry/balance/registry_test.go
+++ b/entry/balance/registry_test.go
@@ -30,7 +30,7 @@
 
 func (slowRanks) Formed([]uint32, []time.Time) {}
 
-func (s slowRanks) Pace(engines []uint32, out []float64) {
+func (s slowRanks) Slowdowns(engines []uint32, out []float64) {
 	for i, e := range engines {
 		out[i] = max(1, s[e])
 	}
@@ -44,7 +44,7 @@
 
 func (peerLoad) Formed([]uint32, []time.Time) {}
 
-func (peerLoad) Pace(_ []uint32, out []float64) {
+func (peerLoad) Slowdowns(_ []uint32, out []float64) {
 	for i := range out {
 		out[i] = 1
 	}
@@ -283,19 +283,19 @@
 	is := is.New(t)
 	r := registry(nil, "a", "b")
 	slow := r.shard("s").servers["a"]
-	slow.Pace.Begun(start)
-	slow.Pace.Event(180*time.Millisecond, start)
+	slow.StreamGap.Begun(start)
+	slow.StreamGap.Event(180*time.Millisecond, start)
 	d := Demand{Service: "s", GapTarget: 120 * time.Millisecond}
 	for range 11 {
 		c, _ := r.Pick(d, start)
 		is.Equal(c.Server.ID, "b") // up to its slots
 	}
-	slow.Pace.Event(60*time.Millisecond, start)
-	slow.Pace.Event(60*time.Millisecond, start)
-	slow.Pace.Event(60*time.Millisecond, start)
+	slow.StreamGap.Event(60*time.Millisecond, start)
+	slow.StreamGap.Event(60*time.Millisecond, start)
+	slow.StreamGap.Event(60*time.Millisecond, start)
 	c, _ := r.Pick(d, start)
 	is.Equal(c.Server.ID, "a")
-	is.Equal(slow.Pace.Gap(start.Add(500*time.Millisecond)), 500*time.Millisecond) // a gap that has not ended counts
+	is.Equal(slow.StreamGap.Gap(start.Add(500*time.Millisecond)), 500*time.Millisecond) // a gap that has not ended counts
 }
 
 // A server that crashed and restarted is listed twice until the lease of its first entry
--- a/entry/balance/rest.go
+++ b/entry/balance/rest.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Rests reports whether the server is in a backoff.
-func (s *Server) Rests(now time.Time) bool { return now.Before(s.noticeState.RestsUntil()) }
+// HasBackoff reports whether the server is in a backoff.
+func (s *Server) HasBackoff(now time.Time) bool { return now.Before(s.noticeState.BackoffUntil()) }
 
 // usualServiceTime returns the measured time for which a request occupies a slot, or
 // defaultServiceTime.
@@ -52,8 +52,8 @@
 func (s *shard) backAt(server *Server, now time.Time) (at time.Time, inBackoff bool) {
 	window := server.rampUp.window
 	switch {
-	case server.Rests(now):
-		return server.noticeState.RestsUntil(), true
+	case server.HasBackoff(now):
+		return server.noticeState.BackoffUntil(), true
 	case server.rampUp.full():
 		return now.Add(s.usualServiceTime() / time.Duration(window)), true
 	default:
@@ -61,14 +61,14 @@
 	}
 }
 
-// Rested records that the server rejected a request and asked this gateway for a backoff.
+// StartBackoff records that the server rejected a request and asked this gateway for a backoff.
 // It returns the end of the backoff, and whether the server was in a backoff before.
-func (r *Registry) Rested(server *Server, backoff time.Duration, now time.Time) (until time.Time, before bool) {
+func (r *Registry) StartBackoff(server *Server, backoff time.Duration, now time.Time) (until time.Time, before bool) {
 	s := r.shard(server.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	jitter := backoffJitter(backoff, s.usualServiceTime(), r.peers.Members(), server.Slots)
-	until, before = server.noticeState.Rest(now.Add(backoff+rand.N(jitter+1)), now)
+	until, before = server.noticeState.Backoff(now.Add(backoff+rand.N(jitter+1)), now)
 	server.rampUp = rampUp{window: 1, running: new(atomic.Int32)}
 	return until, before
 }
--- a/entry/balance/rest_test.go
+++ b/entry/balance/rest_test.go
@@ -15,7 +15,7 @@
 type members int
 
 func (members) Load([]uint32, []cluster.Load)   {}
-func (members) Pace([]uint32, []float64)        {}
+func (members) Slowdowns([]uint32, []float64)   {}
 func (members) Formed([]uint32, []time.Time)    {}
 func (m members) Members() int                  { return int(m) }
 func (members) Staleness() (none time.Duration) { return 0 }
@@ -37,20 +37,20 @@
 	is := is.New(t)
 	r := backoffRegistry("a", "b")
 	a := serverOf(r, "a")
-	until, before := r.Rested(a, 3*time.Second, start)
+	until, before := r.StartBackoff(a, 3*time.Second, start)
 	is.Equal(until, start.Add(3*time.Second))
 	is.True(!before)
 	for range 4 {
 		is.Equal(pick(t, r, start).Server.ID, "b")
 	}
-	is.Equal(r.Admits(a, start), ErrResting) // also for a request that was already assigned to it
-	r.Accepted(a, start.Add(time.Second))    // a request that was in flight
+	is.Equal(r.Admits(a, start), ErrInBackoff) // also for a request that was already assigned to it
+	r.Accepted(a, start.Add(time.Second))      // a request that was in flight
 	r.Succeeded(a)
-	_, before = r.Rested(a, 500*time.Millisecond, start.Add(time.Second))
+	_, before = r.StartBackoff(a, 500*time.Millisecond, start.Add(time.Second))
 	is.True(before)
 	last := until.Add(-time.Millisecond)
 	is.Equal(r.Load("s", last).Servers, 1)
-	is.Equal(r.Admits(a, last), ErrResting)
+	is.Equal(r.Admits(a, last), ErrInBackoff)
 	is.Equal(r.Load("s", until).Servers, 2)
 	is.NoErr(r.Admits(a, until))
 }
@@ -62,7 +62,7 @@
 	for _, id := range []string{"a", "b", "c"} {
 		r.Rejected(serverOf(r, id), start)
 	}
-	r.Rested(serverOf(r, "a"), time.Second, start)
+	r.StartBackoff(serverOf(r, "a"), time.Second, start)
 	for _, due := range r.DueProbes(start) {
 		is.True(due.ID != "a")
 	}
@@ -72,20 +72,20 @@
 	is := is.New(t)
 	r := backoffRegistry("a")
 	a := serverOf(r, "a")
-	until, _ := r.Rested(a, time.Second, start)
+	until, _ := r.StartBackoff(a, time.Second, start)
 	d := Demand{Service: "s"}
 	_, found := r.Pick(d, start)
-	is.Equal(found, Resting)
+	is.Equal(found, InBackoff)
 	first, found := r.Pick(d, until)
 	is.Equal(found, Available)
 	second, found := r.Pick(d, until)
-	is.Equal(found, Resting)
-	is.Equal(second.Load.Resting, 1)
+	is.Equal(found, InBackoff)
+	is.Equal(second.Load.InBackoff, 1)
 	r.Accepted(a, until)
 	second, found = r.Pick(d, until) // while the first one is in flight
 	is.Equal(found, Available)
 	_, found = r.Pick(d, until)
-	is.Equal(found, Resting)
+	is.Equal(found, InBackoff)
 	first.Release()
 	second.Release()
 	r.Accepted(a, until)
@@ -93,9 +93,9 @@
 	for range a.Slots {
 		pick(t, r, until) // the window no longer bounds them
 	}
-	r.Rested(a, time.Second, until)
+	r.StartBackoff(a, time.Second, until)
 	_, found = r.Pick(d, until)
-	is.Equal(found, Resting)
+	is.Equal(found, InBackoff)
 }
 
 // A backoff does not apply to another incarnation under the id or at the address.
@@ -117,13 +117,13 @@
 			is := is.New(t)
 			r := NewRegistry(members(1), "", zerolog.Nop())
 			r.Update([]Info{base}, at(1), 0, start)
-			r.Rested(serverOf(r, "a"), time.Minute, start)
+			r.StartBackoff(serverOf(r, "a"), time.Minute, start)
 			next := base
 			c.edit(&next)
 			r.Update(nil, at(2), 0, start)
 			r.Update([]Info{next}, at(3), 0, start)
 			_, found := r.Pick(Demand{Service: "s"}, start)
-			is.Equal(found == Resting, c.inBackoff)
+			is.Equal(found == InBackoff, c.inBackoff)
 		})
 	}
 }
@@ -133,13 +133,13 @@
 func TestPermitsWhileServersAreInBackoff(t *testing.T) {
 	is := is.New(t)
 	r := backoffRegistry("a", "b")
-	r.Rested(serverOf(r, "a"), 3*time.Second, start)
+	r.StartBackoff(serverOf(r, "a"), 3*time.Second, start)
 	is.Equal(r.Permits("s", start).Next, time.Duration(0)) // the other server has no backoff
-	r.Rested(serverOf(r, "b"), 2*time.Second, start)
+	r.StartBackoff(serverOf(r, "b"), 2*time.Second, start)
 	p := r.Permits("s", start)
 	is.Equal(p.Next, 2*time.Second)
 	is.Equal(p.Open, 0)
-	is.Equal(p.Resting, 2)
+	is.Equal(p.InBackoff, 2)
 	is.True(p.PerSecond > 0 && p.PerSecond <= 100)
 }
 
--- a/entry/balance/server.go
+++ b/entry/balance/server.go
@@ -37,7 +37,7 @@
 // from different eras of the source are not comparable, so such entries are ordered by
 // the start times of their servers.
 func (i Info) laterThan(o Info) bool {
-	if i.At.Era != o.At.Era && i.Started != 0 && o.Started != 0 {
+	if i.At.Term != o.At.Term && i.Started != 0 && o.Started != 0 {
 		return i.Started > o.Started
 	}
 	return i.At.After(o.At)
@@ -46,9 +46,9 @@
 // Server is one incarnation of a backend server.
 type Server struct {
 	Info
-	Key  uint32 // hash of the id, as exchanged between gateways
-	Pool *upstream.Pool
-	Pace Pace
+	Key       uint32 // hash of the id, as exchanged between gateways
+	Pool      *upstream.Pool
+	StreamGap StreamGap
 
 	engineKey uint32 // key under which the slowdown of its rank is reported
 	limit     ratelimit.Key
@@ -121,7 +121,7 @@
 
 // usable reports whether the server may get a request. The caller holds the shard's lock.
 func (s *Server) usable(now time.Time) bool {
-	return s.eligible(now) && !s.Rests(now)
+	return s.eligible(now) && !s.HasBackoff(now)
 }
 
 // eligible reports whether the server may get a request, apart from a backoff. The caller
--- a/entry/balance/slow.go
+++ b/entry/balance/slow.go
@@ -19,11 +19,11 @@
 // tooSlow reports whether a server gets no streams because its rank is slow.
 func (s *shard) tooSlow(i int) bool { return s.slowdowns[i] >= slowAt && 2*s.slow < len(s.usable) }
 
-// Spared reports whether a server gets no streams because its rank is slow. Streams that
+// TooSlow reports whether a server gets no streams because its rank is slow. Streams that
 // it already has are better moved to another server.
-func (r *Registry) Spared(server *Server) bool {
+func (r *Registry) TooSlow(server *Server) bool {
 	var slowdown [1]float64
-	r.peers.Pace([]uint32{server.engineKey}, slowdown[:])
+	r.peers.Slowdowns([]uint32{server.engineKey}, slowdown[:])
 	if slowdown[0] < slowAt {
 		return false
 	}
--- a/entry/catalog/catalog.go
+++ b/entry/catalog/catalog.go
@@ -91,14 +91,14 @@
 	MaxConns   int // connections from all callers together to one backend server
 	// Engine describes the model engines of the service; nil for a service without any.
 	Engine *Engine
-	// Cold limits the requests to a backend server that has just started.
-	Cold Cold
+	// ColdLimit limits the requests to a backend server that has just started.
+	ColdLimit ColdLimit
 }
 
-// Cold limits the requests to a service's backend servers while they are cold: for some
+// ColdLimit limits the requests to a service's backend servers while they are cold: for some
 // time after their start, and whenever they report it. The zero value sets no limit.
-type Cold struct {
-	Lasts     time.Duration // after a start
+type ColdLimit struct {
+	Window    time.Duration // after a start
 	PerSecond float64       // requests from all callers together, 0 = no limit
 }
 
@@ -221,8 +221,8 @@
 // Services returns all services by name.
 func (s *Snapshot) Services() map[string]*Service { return s.services }
 
-// Keyed reports whether requests need an API key, except on public routes.
-func (s *Snapshot) Keyed() bool { return s.requiresKey }
+// RequiresKey reports whether requests need an API key, except on public routes.
+func (s *Snapshot) RequiresKey() bool { return s.requiresKey }
 
 // Team returns the team that holds the API key, or nil.
 func (s *Snapshot) Team(key string) *Team { return s.teams[key] }
--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -81,7 +81,7 @@
 	is := is.New(t)
 	s, err := New(Content{Version: 1, Teams: []Team{{Name: "water", Keys: []string{"k1", "k2"}}}})
 	is.NoErr(err)
-	is.True(s.Keyed())
+	is.True(s.RequiresKey())
 	is.Equal(s.Team("k2").Name, "water")
 	is.True(s.Team("k3") == nil)
 }
--- a/entry/dispatch/dispatch.go
+++ b/entry/dispatch/dispatch.go
@@ -45,9 +45,9 @@
 	Key     uint64 // hash of the prompt prefix
 }
 
-// Place identifies an attempt and the agent incarnation that holds it. With it, the
+// AttemptLocation identifies an attempt and the agent incarnation that holds it. With it, the
 // caller can get the rest of its answer through another entry VM.
-type Place struct {
+type AttemptLocation struct {
 	VM          vm.ID
 	Incarnation vm.Incarnation
 	Attempt     contract.AttemptID
@@ -56,7 +56,7 @@
 // Sink receives the answer. Its methods are called from one goroutine.
 type Sink interface {
 	// Head starts the answer.
-	Head(status int, headers []*wire.Header, at Place) error
+	Head(status int, headers []*wire.Header, at AttemptLocation) error
 	// Data delivers the next part of the answer's body.
 	Data(p []byte) error
 }
@@ -151,7 +151,7 @@
 }
 
 // Resume streams the rest of an answer, starting at the offset, from the agent that holds it.
-func (d *Dispatcher) Resume(ctx context.Context, at Place, offset int64, deadline time.Time, sink Sink) error {
+func (d *Dispatcher) Resume(ctx context.Context, at AttemptLocation, offset int64, deadline time.Time, sink Sink) error {
 	x := &exchange{
 		d: d, sink: sink, location: at, offset: offset,
 		contract: contract.Contract{Request: at.Attempt.Request, Deadline: deadline},
@@ -159,7 +159,7 @@
 	}
 	b, ok := d.directory.Find(at.VM)
 	if !ok {
-		return &contract.Refusal{Outcome: contract.Unknown, Reason: contract.ReasonReplacedAgent}
+		return &contract.Refusal{Outcome: contract.Unknown, Reason: contract.ReasonAgentReplaced}
 	}
 	x.backend = b
 	ctx, cancel := clock.WithDeadline(ctx, deadline)
--- a/entry/dispatch/exchange.go
+++ b/entry/dispatch/exchange.go
@@ -41,10 +41,10 @@
 	suspect  quarantine.Attempt      // of the current attempt
 	// closed is why and until when a server refused the request for a rate limit or a backoff,
 	// or why and until when all of them do.
-	closed backend.Closed
+	closed backend.Backoff
 
 	backend  *backend.Backend // of the current attempt
-	location Place
+	location AttemptLocation
 	sent     time.Time
 	headSent bool  // whether the head was forwarded
 	status   int   // of the answer
@@ -117,7 +117,7 @@
 // refuseNoBackend refuses a request for which no backend server can be chosen.
 func (x *exchange) refuseNoBackend(ctx context.Context) error {
 	if x.contract.Ticket != nil {
-		return x.resolve(ctx, result{event: retry.EventNoFate, refusal: contract.Refusal{Reason: contract.ReasonReplacedAgent}})
+		return x.resolve(ctx, result{event: retry.EventOutcomeUnknown, refusal: contract.Refusal{Reason: contract.ReasonAgentReplaced}})
 	}
 	reason, after := contract.ReasonNoBackend, time.Duration(0)
 	if x.closed.Reason != "" {
@@ -146,7 +146,7 @@
 	}
 	view := x.d.config.View()
 	choice := x.d.directory.Usable(x.contract.Service)
-	open, next := choice.Open(clock.Now())
+	open, next := choice.Available(clock.Now())
 	if next.Reason != "" {
 		x.closed = next
 		return false
@@ -228,7 +228,7 @@
 		return result{event: retry.EventNotSent, refusal: contract.Refusal{Reason: contract.ReasonNoBackend}}
 	}
 	defer s.Close()
-	x.location = Place{
+	x.location = AttemptLocation{
 		VM: l.Remote, Incarnation: l.Incarnation,
 		Attempt: contract.AttemptID{Request: x.contract.Request, Number: number},
 	}
@@ -336,7 +336,7 @@
 func (x *exchange) interrupted(ctx context.Context, s *link.Stream) result {
 	if eris.Is(ctx.Err(), context.DeadlineExceeded) {
 		_ = s.SendCall(&wire.Call{Body: &wire.Call_Cancel{Cancel: &wire.Cancel{}}})
-		return result{event: retry.EventNoFate, refusal: contract.Refusal{Reason: contract.ReasonDeadline}}
+		return result{event: retry.EventOutcomeUnknown, refusal: contract.Refusal{Reason: contract.ReasonDeadline}}
 	}
 	if ctx.Err() != nil {
 		return result{err: x.cancelForCaller(s, ctx.Err())}
@@ -359,8 +359,8 @@
 		configuration.RecordChanges(x.d.recorder, x.d.config.Apply(b))
 	}
 	after := time.Duration(w.GetRetryAfterMs()) * time.Millisecond
-	if reason := contract.Reason(w.GetReason()); reason == contract.ReasonRateLimit || reason == contract.ReasonRest {
-		x.closed = x.backend.Close(reason, after, clock.Now())
+	if reason := contract.Reason(w.GetReason()); reason == contract.ReasonRateLimit || reason == contract.ReasonBackoff {
+		x.closed = x.backend.SetBackoff(reason, after, clock.Now())
 	}
 	if end := w.GetEngineEnd(); end > 0 {
 		x.recordEnd(end)
@@ -380,7 +380,7 @@
 		Incarnation: uint64(x.location.Incarnation), DeadlineUnixMs: clock.Wall(x.contract.Deadline).UnixMilli(),
 		SentUnixMs: clock.Wall(x.sent).UnixMilli(),
 	}
-	out := result{event: retry.EventNoFate, refusal: contract.Refusal{Reason: contract.ReasonLinkLost}}
+	out := result{event: retry.EventOutcomeUnknown, refusal: contract.Refusal{Reason: contract.ReasonLinkLost}}
 	x.tryUntil(ctx, func(ctx context.Context, l *link.Link) bool {
 		reply, err := l.Call(ctx, &wire.Call{Body: &wire.Call_Fate{Fate: query}})
 		if err != nil {
@@ -392,17 +392,17 @@
 		case wire.Fate_FATE_RUNNING, wire.Fate_FATE_ANSWERED:
 			out = result{event: retry.EventHeld}
 		default:
-			out = result{event: retry.EventNoFate, refusal: contract.Refusal{Reason: contract.ReasonReplacedAgent}}
+			out = result{event: retry.EventOutcomeUnknown, refusal: contract.Refusal{Reason: contract.ReasonAgentReplaced}}
 		}
 		return true
 	})
-	x.record(timeline.KindFate, string(out.refusal.Reason))
+	x.record(timeline.KindAttemptOutcome, string(out.refusal.Reason))
 	return out
 }
 
 // resume reattaches to the attempt and forwards the rest of its answer.
 func (x *exchange) resume(ctx context.Context) result {
-	out := result{event: retry.EventNoFate, refusal: contract.Refusal{Reason: contract.ReasonLinkLost}}
+	out := result{event: retry.EventOutcomeUnknown, refusal: contract.Refusal{Reason: contract.ReasonLinkLost}}
 	x.record(timeline.KindResume, "")
 	x.tryUntil(ctx, func(_ context.Context, l *link.Link) bool {
 		s, err := l.Open(ctx)
@@ -421,7 +421,7 @@
 		return out.event != retry.EventCut && out.event != retry.EventLost
 	})
 	if out.event == retry.EventLost {
-		out.event = retry.EventNoFate
+		out.event = retry.EventOutcomeUnknown
 	}
 	return out
 }
--- a/entry/dispatch/quarantine.go
+++ b/entry/dispatch/quarantine.go
@@ -60,14 +60,14 @@
 func (x *exchange) refuseQuarantined() error {
 	judgement := x.d.suspects.Judge(x.fingerprint(), clock.Now())
 	x.d.recorder.Record(timeline.Event{
-		Kind: timeline.KindRefused, Request: string(x.contract.Request), Choice: judgement.Standing.String(),
+		Kind: timeline.KindRefused, Request: string(x.contract.Request), Choice: judgement.Status.String(),
 		Reason: fmt.Sprintf("%d backend servers ended under equal requests, the latest %s ago", judgement.Ends, judgement.Since.Round(time.Millisecond)),
 	})
 	x.sequence.Deadline = time.Time{} // prevents a retry
-	refusal := contract.Refusal{Outcome: contract.NotRun, Reason: contract.ReasonQuarantined, RetryAfter: judgement.Left}
+	refusal := contract.Refusal{Outcome: contract.NotRun, Reason: contract.ReasonQuarantined, RetryAfter: judgement.Remaining}
 	event := retry.EventRefused
 	if x.contract.Ticket != nil {
-		event = retry.EventNoFate
+		event = retry.EventOutcomeUnknown
 	}
 	if x.headSent {
 		return ErrAborted
--- a/entry/follow/election.go
+++ b/entry/follow/election.go
@@ -64,14 +64,14 @@
 
 // Decide returns the gateway's role. Heartbeats report which gateways are in contact with the
 // store.
-func (e *Election) Decide(live []cluster.Peer, own Standing, now time.Time) source.Duty {
+func (e *Election) Decide(live []cluster.Peer, own State, now time.Time) source.Role {
 	age := now.Sub(e.started)
 	small := len(live)+1 <= smallFleet
 	var order candidates
 	order.add(e.vm, own.Active, own.Failing)
 	fresh := false
 	for _, p := range live {
-		fresh = fresh || now.Sub(p.StoreHeard) < source.Staleness(e.within)
+		fresh = fresh || now.Sub(p.LastStoreAnswer) < source.MaxStaleness(e.within)
 		if small || p.Zone == e.zone {
 			order.add(string(p.VM), p.Active, p.StoreFailing)
 		}
@@ -82,15 +82,15 @@
 	}
 	switch {
 	case !own.Listed && e.hasPeers && age < e.discovery:
-		return source.DutyRest
+		return source.RolePassive
 	case slices.Contains(order.first(limit), e.vm):
-		return source.DutyLead
+		return source.RoleLead
 	case small:
-		return source.DutyFollow
+		return source.RoleFollow
 	case fresh && (own.Listed || age <= e.fallback):
-		return source.DutyRest
+		return source.RolePassive
 	default:
-		return source.DutyStandIn
+		return source.RoleStandIn
 	}
 }
 
--- a/entry/follow/exchange.go
+++ b/entry/follow/exchange.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// LookInterval is how often a gateway checks whether others know newer changes.
-	LookInterval = 200 * time.Millisecond
-	// RestLook is how often a gateway that does not follow the store itself checks this.
-	RestLook = 100 * time.Millisecond
+	// CheckInterval is how often a gateway checks whether others know newer changes.
+	CheckInterval = 200 * time.Millisecond
+	// NonFollowerCheckInterval is how often a gateway that does not follow the store itself checks this.
+	NonFollowerCheckInterval = 100 * time.Millisecond
 	// PullTimeout bounds a call to another gateway.
 	PullTimeout = 2 * time.Second
 )
@@ -38,13 +38,13 @@
 	pullGapFraction = 0.1
 )
 
-// Standing is the state of a gateway with regard to the store.
-type Standing struct {
+// State is the state of a gateway with regard to the store.
+type State struct {
 	Changed  source.Position // newest change
 	Catalog  uint64          // version in force
 	Retained uint64          // digest of the entries in which it is ahead of the store
 	Listed   bool            // it knows a state of the store
-	Resting  bool            // it does not follow the store itself
+	Passive  bool            // it does not follow the store itself
 	Active   bool            // it is announced to callers
 	Failing  bool            // the store does not answer it
 }
@@ -79,8 +79,8 @@
 	}
 }
 
-// Look compares the states that other gateways report with the state of this one.
-func (x *Exchange) Look(own Standing, live []cluster.Peer, now time.Time) Step {
+// Check compares the states that other gateways report with the state of this one.
+func (x *Exchange) Check(own State, live []cluster.Peer, now time.Time) Step {
 	var out Step
 	newest := own.Changed
 	for i := range live {
@@ -101,7 +101,7 @@
 	if x.behind == nudgeAfter {
 		out.Nudge = newest
 	}
-	if x.behind >= pullAfter || !own.Listed || own.Resting {
+	if x.behind >= pullAfter || !own.Listed || own.Passive {
 		out.Pull = x.pullIf(live, now, func(p *cluster.Peer) bool { return p.StoreChanged.After(own.Changed) })
 	}
 	return out
@@ -109,7 +109,7 @@
 
 // isAhead reports whether a gateway is ahead of the store in a state that this one does not
 // have and has not pulled recently.
-func (x *Exchange) isAhead(own Standing, p *cluster.Peer, now time.Time) bool {
+func (x *Exchange) isAhead(own State, p *cluster.Peer, now time.Time) bool {
 	b := aheadState{p.Retained, p.CatalogVersion}
 	differs := b.retained != 0 && b.retained != own.Retained || b.catalog > own.Catalog
 	return differs && now.Sub(x.pulledAhead[b]) >= repeatPullAfter
@@ -145,7 +145,7 @@
 	if near := p.Zone == x.zone; near != (than.Zone == x.zone) {
 		return near
 	}
-	return p.Heard.After(than.Heard)
+	return p.LastHeartbeat.After(than.LastHeartbeat)
 }
 
 // mayPull reports whether another pull may start. Only one may be in progress, unless it takes
@@ -160,5 +160,5 @@
 	return now.Sub(x.pulled) >= x.gap
 }
 
-// Ended records that a pull has ended.
-func (x *Exchange) Ended(from vm.ID) { delete(x.pulling, from) }
+// PullEnded records that a pull has ended.
+func (x *Exchange) PullEnded(from vm.ID) { delete(x.pulling, from) }
--- a/entry/follow/spread_world_test.go
+++ b/entry/follow/spread_world_test.go
@@ -47,7 +47,7 @@
 
 func (s *simStore) put(key string) source.Position {
 	s.revision++
-	at := source.Position{Era: s.term, Revision: s.revision}
+	at := source.Position{Term: s.term, Revision: s.revision}
 	s.items[key] = source.Item{Key: key, Position: at}
 	s.events = append(s.events, source.Event{Item: s.items[key]})
 	if !s.stalled {
@@ -132,10 +132,10 @@
 		}
 		g.election = NewElection(g.name(), g.zone(), within, true, false, clock.Now())
 		g.table = cluster.NewTable(address(i), []string{address(0), address(1), address(2)}, cluster.DefaultPerPeer)
-		g.table.Attend()
+		g.table.EnableMonitoring()
 		g.follower = &source.Follower{
 			Store: g, Log: zerolog.Nop(), Within: within, Deliver: g.deliver,
-			Others: g.others, Duty: g.decideRole,
+			Others: g.others, Role: g.decideRole,
 		}
 		f.gateways = append(f.gateways, g)
 		f.at[address(i)] = g
@@ -177,19 +177,19 @@
 	}
 }
 
-func (g *simGateway) decideRole() source.Duty {
+func (g *simGateway) decideRole() source.Role {
 	g.fleet.mu.Lock()
 	defer g.fleet.mu.Unlock()
 	role := g.election.Decide(g.table.Live(), g.state(), clock.Now())
-	g.leads, g.passive = role == source.DutyLead, role == source.DutyRest
+	g.leads, g.passive = role == source.RoleLead, role == source.RolePassive
 	return role
 }
 
 // state returns the gateway's state with regard to the store. The caller holds the fleet's
 // lock.
-func (g *simGateway) state() Standing {
-	return Standing{
-		Changed: g.changed, Retained: g.retained, Listed: g.listed, Resting: g.passive, Active: g.active,
+func (g *simGateway) state() State {
+	return State{
+		Changed: g.changed, Retained: g.retained, Listed: g.listed, Passive: g.passive, Active: g.active,
 		Failing: g.follower.Failing(),
 	}
 }
@@ -209,7 +209,7 @@
 func (g *simGateway) self() cluster.Self {
 	return cluster.Self{
 		VM: vm.ID(g.name()), Incarnation: 1, Zone: g.zone(), Address: fmt.Sprintf("10.0.%d.%d:1", g.index/200, g.index%200), Front: "f",
-		Ready: g.listed, StoreChanged: g.changed, StoreHeard: g.follower.Heard(), StoreFailing: g.follower.Failing(), Retained: g.retained,
+		Ready: g.listed, StoreChanged: g.changed, LastStoreAnswer: g.follower.LastAnswer(), StoreFailing: g.follower.Failing(), Retained: g.retained,
 		Activity: cluster.Activity{Active: g.active},
 	}
 }
@@ -243,9 +243,9 @@
 
 // runChecks checks the other gateways as gateway.peering does.
 func (g *simGateway) runChecks(ctx context.Context) {
-	for n := 0; wait.Sleep(ctx, RestLook); n++ {
+	for n := 0; wait.Sleep(ctx, NonFollowerCheckInterval); n++ {
 		g.waitUnfrozen(ctx)
-		if n%int(LookInterval/RestLook) == 0 {
+		if n%int(CheckInterval/NonFollowerCheckInterval) == 0 {
 			g.follower.Recheck()
 		} else if !get(g.fleet, &g.passive) {
 			continue
@@ -253,7 +253,7 @@
 		retained := g.follower.Retained()
 		g.fleet.mu.Lock()
 		g.retained = retained
-		step := g.exchange.Look(g.state(), g.table.Live(), clock.Now())
+		step := g.exchange.Check(g.state(), g.table.Live(), clock.Now())
 		g.fleet.mu.Unlock()
 		if step.Nudge != (source.Position{}) {
 			g.follower.Nudge(step.Nudge)
@@ -269,7 +269,7 @@
 	defer func() {
 		g.fleet.mu.Lock()
 		defer g.fleet.mu.Unlock()
-		g.exchange.Ended(from.VM)
+		g.exchange.PullEnded(from.VM)
 	}()
 	to := g.fleet.at[from.Address]
 	time.Sleep(hop + serveTime)
@@ -310,10 +310,10 @@
 	}
 	g.fleet.mu.Lock()
 	s := g.fleet.store
-	at := source.Position{Era: s.term, Revision: s.revision}
+	at := source.Position{Term: s.term, Revision: s.revision}
 	var out []source.Item
 	for _, i := range s.items {
-		i.Era = s.term
+		i.Term = s.term
 		out = append(out, i)
 	}
 	g.fleet.mu.Unlock()
@@ -331,7 +331,7 @@
 
 func (s *simStore) answer(after source.Position, first bool) answer {
 	out := answer{
-		at: source.Position{Era: s.term, Revision: s.revision}, gone: after.Revision < s.dropped || after.Revision > s.revision,
+		at: source.Position{Term: s.term, Revision: s.revision}, gone: after.Revision < s.dropped || after.Revision > s.revision,
 		changed: s.changed, cut: s.cut,
 	}
 	if s.stalled && (!first || s.stalledNew) {
--- a/entry/gateway/adapter_test.go
+++ b/entry/gateway/adapter_test.go
@@ -55,18 +55,18 @@
 // ReadNotice reads a limit in whole requests per second, the time for which the server is
 // cold in whole seconds, a backoff in decimal seconds, and whether the server leaves.
 func (testAdapter) ReadNotice(_ int, h http.Header, now time.Time) (n notice.Notice, err error) {
-	n.Limit.Kind = ratelimit.SaidNone
+	n.Limit.Kind = ratelimit.LimitNone
 	if text := h.Get("T-Limit"); text != "" {
 		limit, err := strconv.Atoi(text)
 		if err != nil {
 			return notice.Notice{}, err
 		}
-		n.Limit = ratelimit.Said{Kind: ratelimit.SaidLimit, Limit: float64(limit)}
+		n.Limit = ratelimit.Report{Kind: ratelimit.LimitSet, Limit: float64(limit)}
 	}
 	seconds, _ := strconv.Atoi(h.Get("T-Cold")) // 0 if the field is absent
 	n.Cold = time.Duration(seconds) * time.Second
 	n.Leaving = h.Get("T-Leaving") != ""
-	n.Rest, err = notice.ParseRest(h["T-Rest"], "", now)
+	n.Backoff, err = notice.ParseRetryAfter(h["T-Rest"], "", now)
 	return n, err
 }
 
--- a/entry/gateway/answer.go
+++ b/entry/gateway/answer.go
@@ -158,7 +158,7 @@
 		e = e.Stringer("fingerprint", q.fingerprint()).Int("ends", j.Ends).Dur("latest_end", j.Since)
 	}
 	if s := q.refusalSituation; s != nil {
-		e = e.Dur("back", s.Back).Int("late_waiting", s.Waiting).Int("late_served", s.Taken).Float64("late_room", s.Room)
+		e = e.Dur("back", s.RecoversIn).Int("late_waiting", s.Waiting).Int("late_served", s.Taken).Float64("late_room", s.Quota)
 	}
 	e.AnErr("write", err).Int("status", status).Str("outcome", string(r.Outcome)).
 		Str("reason", string(r.Reason)).Dur("retry_after", after).Msg("request refused")
@@ -167,7 +167,7 @@
 // addLogFields adds the state on which the handling of the request was based to a log
 // event.
 func (q *request) addLogFields(e *zerolog.Event) *zerolog.Event {
-	e = e.Str("request", q.id).Uint64("catalog", q.version).Uint64("era", q.decidedState.at.Era).Uint64("revision", q.decidedState.at.Revision).
+	e = e.Str("request", q.id).Uint64("catalog", q.version).Uint64("era", q.decidedState.at.Term).Uint64("revision", q.decidedState.at.Revision).
 		Str("state_from", q.decidedState.source()).Dur("state_age", clock.Since(q.decidedState.appliedAt)).
 		Dur("elapsed", clock.Since(q.began)).Int("attempts", q.sequence.Attempts())
 	if q.route != nil {
--- a/entry/gateway/cold.go
+++ b/entry/gateway/cold.go
@@ -35,7 +35,7 @@
 func (l *limits) markReturnedCold(returned []balance.Info, now time.Time) {
 	for _, info := range returned {
 		if service := l.g.service(info.Service); service != nil {
-			l.imposeCold(info, service.Cold.Lasts, now)
+			l.imposeCold(info, service.ColdLimit.Window, now)
 		}
 	}
 }
@@ -43,10 +43,10 @@
 // imposeCold limits the rate of requests to a cold server for the given time from now.
 func (l *limits) imposeCold(info balance.Info, lasts time.Duration, now time.Time) {
 	service := l.g.service(info.Service)
-	if service == nil || service.Cold.PerSecond <= 0 || lasts <= 0 {
+	if service == nil || service.ColdLimit.PerSecond <= 0 || lasts <= 0 {
 		return
 	}
-	l.table.Impose(info.ColdKey(), ratelimit.RateWithin(service.Cold.PerSecond), now.Add(lasts), now)
+	l.table.Impose(info.ColdKey(), ratelimit.RateWithin(service.ColdLimit.PerSecond), now.Add(lasts), now)
 }
 
 // takePermits acquires the permits that a request to the server needs, just before it is
--- a/entry/gateway/directory.go
+++ b/entry/gateway/directory.go
@@ -57,7 +57,7 @@
 	for _, p := range g.node.Live() {
 		switch {
 		case !p.Ready:
-		case !p.Active && now.Sub(p.Heard) >= standbyMaxAge:
+		case !p.Active && now.Sub(p.LastHeartbeat) >= standbyMaxAge:
 			reachable.stale = append(reachable.stale, p.Front)
 		default:
 			reachable.add(p.Zone == zone, p.Active, p.Front)
--- a/entry/gateway/dispatch.go
+++ b/entry/gateway/dispatch.go
@@ -97,7 +97,7 @@
 			continue
 		}
 		if a.verdict.withheld() {
-			q.sequence.Void()
+			q.sequence.UndoBegin()
 			continue
 		}
 		decision := q.next(a)
@@ -128,8 +128,8 @@
 		refusal.Reason = contract.ReasonEvacuated
 	case found == balance.Leaving:
 		refusal.Reason = contract.ReasonDraining
-	case found == balance.Resting:
-		refusal.Reason = contract.ReasonRest
+	case found == balance.InBackoff:
+		refusal.Reason = contract.ReasonBackoff
 	case found == balance.Limited:
 		refusal.Reason = contract.ReasonRateLimit
 	case found == balance.AllBusy:
@@ -179,7 +179,7 @@
 	now := clock.Now()
 	switch a.verdict {
 	case verdictNotSent:
-		return q.sequence.Next(retry.EventNotSent, contract.Refusal{Reason: contract.ReasonEngineDial}, now)
+		return q.sequence.Next(retry.EventNotSent, contract.Refusal{Reason: contract.ReasonEngineUnreachable}, now)
 	case verdictRejected:
 		return q.sequence.Next(retry.EventRefused, contract.Refusal{Outcome: contract.NotRun, Reason: a.reason}, now)
 	case verdictDeadline:
@@ -192,13 +192,13 @@
 // try makes one attempt at the chosen server.
 func (q *request) try(ctx context.Context, c balance.Choice, stream *streamState) attempt {
 	defer c.Release()
-	q.server, q.serverLoad, q.serverEventGap, q.sent = c.Server.ID, c.InFlight, c.Pace, q.g.applied()
+	q.server, q.serverLoad, q.serverEventGap, q.sent = c.Server.ID, c.InFlight, c.StreamGap, q.g.applied()
 	q.serverLimit = q.g.limits.limitOf(c.Server)
 	began := clock.Now()
 	q.quarantineAttempt.Send(quarantine.ServerKey(c.Server.Incarnation()), began)
 	if q.route.Kind == catalog.KindStream {
-		c.Server.Pace.Sent(began)
-		answered := sync.OnceFunc(c.Server.Pace.Answered)
+		c.Server.StreamGap.Sent(began)
+		answered := sync.OnceFunc(c.Server.StreamGap.Answered)
 		defer answered()
 		stream.onFirstEvent = func() {
 			answered()
@@ -212,16 +212,16 @@
 		return q.classify(ctx, c, attempt{verdict: verdictOutdated, err: err})
 	case errors.Is(err, ratelimit.ErrClosed):
 		return q.classify(ctx, c, attempt{verdict: verdictAtLimit, err: err})
-	case errors.Is(err, balance.ErrResting):
+	case errors.Is(err, balance.ErrInBackoff):
 		return q.classify(ctx, c, attempt{verdict: verdictBackoff, err: err})
 	}
 	if err != nil {
-		return q.classify(ctx, c, attempt{verdict: lostOrNotSent(err), err: err, reason: contract.ReasonEngineDial})
+		return q.classify(ctx, c, attempt{verdict: lostOrNotSent(err), err: err, reason: contract.ReasonEngineUnreachable})
 	}
 	defer answer.Close()
 	reported := q.g.receiveNotice(c.Server, answer, sent, viaRequest)
 	if a, done := q.rejection(answer); done {
-		a.backoff = reported.Rest
+		a.backoff = reported.Backoff
 		return q.classify(ctx, c, a)
 	}
 	q.g.registry.Accepted(c.Server, clock.Now())
@@ -281,7 +281,7 @@
 		q.g.registry.Released(c.Server)
 	case verdictRejected:
 		switch {
-		case a.reason == contract.ReasonReplacedAgent:
+		case a.reason == contract.ReasonAgentReplaced:
 			q.g.registry.Replaced(c.Server)
 		case a.backoff > 0:
 			q.g.registry.Released(c.Server) // the server is excluded for the backoff that it requested
@@ -289,7 +289,7 @@
 			q.g.registry.Rejected(c.Server, clock.Now())
 		}
 	default:
-		if errors.Is(a.err, upstream.ErrEnded) {
+		if errors.Is(a.err, upstream.ErrConnectionRefused) {
 			q.g.registry.Ended(c.Server, clock.Now())
 			break
 		}
@@ -324,7 +324,7 @@
 	notRun := answer.Header.Get(q.g.headers.NotRun) != ""
 	switch {
 	case answer.Status == http.StatusMisdirectedRequest:
-		return attempt{verdict: verdictRejected, status: answer.Status, reason: contract.ReasonReplacedAgent}, true
+		return attempt{verdict: verdictRejected, status: answer.Status, reason: contract.ReasonAgentReplaced}, true
 	case notRun && answer.Status >= http.StatusInternalServerError, notRun && answer.Status == http.StatusTooManyRequests:
 		return attempt{verdict: verdictRejected, status: answer.Status, reason: contract.ReasonOverload}, true
 	default:
--- a/entry/gateway/entries.go
+++ b/entry/gateway/entries.go
@@ -127,7 +127,7 @@
 func (g *Gateway) applyCatalog(u source.Update) {
 	item, ok := u.Items[g.adapter.CatalogKey()]
 	if !ok {
-		g.log.Warn().Uint64("era", u.Era).Uint64("revision", u.Revision).Msg("no configuration is published")
+		g.log.Warn().Uint64("era", u.Term).Uint64("revision", u.Revision).Msg("no configuration is published")
 		return
 	}
 	if item.Position == g.catalogEntry.at {
@@ -135,7 +135,7 @@
 	}
 	// Different content with the same version can only have been written after the store
 	// was restored.
-	rewritten := item.Era > g.catalogEntry.at.Era && !bytes.Equal(item.Value, g.catalogEntry.value)
+	rewritten := item.Term > g.catalogEntry.at.Term && !bytes.Equal(item.Value, g.catalogEntry.value)
 	g.catalogEntry = catalogEntry{at: item.Position, value: item.Value}
 	content, err := g.adapter.DecodeCatalog(item.Value)
 	var next *catalog.Snapshot
@@ -144,15 +144,15 @@
 	}
 	before := g.catalog.Version()
 	if err != nil {
-		g.log.Error().Err(err).Uint64("era", item.Era).Uint64("revision", item.Revision).Uint64("in_force", before).Msg("configuration refused")
+		g.log.Error().Err(err).Uint64("era", item.Term).Uint64("revision", item.Revision).Uint64("in_force", before).Msg("configuration refused")
 		return
 	}
 	if !g.catalog.Apply(next, rewritten) {
-		g.log.Info().Uint64("version", next.Version).Uint64("in_force", before).Uint64("era", item.Era).Uint64("revision", item.Revision).
+		g.log.Info().Uint64("version", next.Version).Uint64("in_force", before).Uint64("era", item.Term).Uint64("revision", item.Revision).
 			Msg("configuration not newer than the one in force")
 		return
 	}
-	g.log.Info().Uint64("version", next.Version).Uint64("before", before).Uint64("era", item.Era).Uint64("revision", item.Revision).
+	g.log.Info().Uint64("version", next.Version).Uint64("before", before).Uint64("era", item.Term).Uint64("revision", item.Revision).
 		Str("from", u.From).Int("routes", len(content.Routes)).Int("teams", len(content.Teams)).Msg("configuration in force")
 }
 
@@ -169,7 +169,7 @@
 			refusedEntries[key] = item.Position
 			if before, ok := g.refusedEntries[key]; !ok || before != item.Position { // each is logged once
 				g.inst.entriesRefused.Inc()
-				g.log.Error().Err(err).Str("key", key).Uint64("era", item.Era).Uint64("revision", item.Revision).Msg("backend server refused")
+				g.log.Error().Err(err).Str("key", key).Uint64("era", item.Term).Uint64("revision", item.Revision).Msg("backend server refused")
 			}
 			continue
 		}
@@ -178,6 +178,6 @@
 	}
 	g.refusedEntries = refusedEntries
 	now := clock.Now()
-	g.registry.Update(list, u.Position, u.Absence, now)
+	g.registry.Update(list, u.Position, u.MissingGrace, now)
 	g.limits.updateCold(list, now)
 }
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -67,7 +67,7 @@
 	g := w.gateway
 	take := func(era, revision, version uint64, n int) {
 		i := entry(t, "catalog", catalog.Content{Version: version, Routes: routes()[:n]})
-		i.Position = source.Position{Era: era, Revision: revision}
+		i.Position = source.Position{Term: era, Revision: revision}
 		g.applyCatalog(source.Update{Items: map[string]source.Item{"catalog": i}, Position: i.Position})
 	}
 	take(1, 7, 7, 2)
@@ -88,12 +88,12 @@
 	is := is.New(t)
 	now := time.Now()
 	state := source.State{
-		Items:    map[string]source.Item{"a": {Key: "a", Value: []byte("1"), Position: source.Position{Era: 2, Revision: 3}}},
-		Position: source.Position{Era: 2, Revision: 9}, Changed: source.Position{Era: 2, Revision: 8}, Base: source.Position{Era: 2, Revision: 4},
-		Kept: []source.Item{{Key: "b", Value: manyRoutes(200), Position: source.Position{Era: 1, Revision: 30}}},
+		Items:    map[string]source.Item{"a": {Key: "a", Value: []byte("1"), Position: source.Position{Term: 2, Revision: 3}}},
+		Position: source.Position{Term: 2, Revision: 9}, Changed: source.Position{Term: 2, Revision: 8}, Base: source.Position{Term: 2, Revision: 4},
+		RetainedItems: []source.Item{{Key: "b", Value: manyRoutes(200), Position: source.Position{Term: 1, Revision: 30}}},
 		Gone: []source.Removal{
-			{Item: source.Item{Key: "c", Value: []byte("2"), Position: source.Position{Era: 1, Revision: 31}}, At: now.Add(-1500 * time.Millisecond)},
-			{Item: source.Item{Key: "d", Position: source.Position{Era: 2, Revision: 9}}, At: now, Missing: true},
+			{Item: source.Item{Key: "c", Value: []byte("2"), Position: source.Position{Term: 1, Revision: 31}}, At: now.Add(-1500 * time.Millisecond)},
+			{Item: source.Item{Key: "d", Position: source.Position{Term: 2, Revision: 9}}, At: now, Missing: true},
 		},
 	}
 	var p packer
--- a/entry/gateway/evacuation.go
+++ b/entry/gateway/evacuation.go
@@ -27,6 +27,6 @@
 		return
 	}
 	g.log.Info().Str("zones", strings.Join(g.registry.Evacuated(), ",")).Str("before", strings.Join(before, ",")).
-		Uint64("era", u.Era).Uint64("revision", u.Revision).Str("from", u.From).Int("servers_back", len(returned)).Msg("evacuated availability zones changed")
+		Uint64("era", u.Term).Uint64("revision", u.Revision).Str("from", u.From).Int("servers_back", len(returned)).Msg("evacuated availability zones changed")
 	g.limits.markReturnedCold(returned, now)
 }
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -39,7 +39,7 @@
 	// maxHeader is the largest header accepted from a caller, in bytes.
 	maxHeader = 64 << 10
 	// maintainInterval is the interval between runs of the periodic maintenance.
-	maintainInterval = follow.LookInterval
+	maintainInterval = follow.CheckInterval
 )
 
 // Gateway is the process of an entry VM that dispatches requests straight to backend
@@ -89,23 +89,23 @@
 		return nil, eris.Wrapf(ErrStart, "%v", err)
 	}
 	g.node = node
-	node.Attend()
+	node.EnableMonitoring()
 	g.suspects = quarantine.NewTable(vm.ID(s.VM), node.Staleness, log)
 	node.OnHold(g.holdStep)
-	node.OnSuspects(func(from vm.ID, suspects []*wire.Suspect) { g.suspects.Hear(from, suspects, clock.Now()) })
+	node.OnSuspects(func(from vm.ID, suspects []*wire.Suspect) { g.suspects.Receive(from, suspects, clock.Now()) })
 	g.registry = balance.NewRegistry(node, s.Zone, log)
 	g.limits = newLimits(g)
 	g.registry.LimitBy(g.limits)
 	node.OnLimits(g.limits.receiveReports)
 	g.peering = newPeering(g)
-	node.OnMet(g.peering.peerMet)
+	node.OnPeerUp(g.peering.peerMet)
 	g.follower = &source.Follower{
 		Store: a.Store(s.Store, log), Log: log, Deliver: g.applyUpdate, Within: s.Follow.Within, Rules: g.rules(),
-		Others: g.followers, Duty: func() source.Duty { return g.peering.decideRole() },
+		Others: g.followers, Role: func() source.Role { return g.peering.decideRole() },
 	}
 	g.inst = newInstruments(gauges{
 		catalogVersion:   func() float64 { return float64(g.catalog.Version()) },
-		storeTerm:        func() float64 { return float64(g.applied().at.Era) },
+		storeTerm:        func() float64 { return float64(g.applied().at.Term) },
 		backendsRevision: func() float64 { return float64(g.applied().at.Revision) },
 		peers:            func() float64 { return float64(len(node.Live())) },
 		suspects:         func() float64 { return float64(g.suspects.Size()) },
@@ -122,8 +122,8 @@
 		VM: vm.ID(g.settings.VM), Incarnation: g.incarnation, Zone: g.settings.Zone,
 		Address: g.settings.Listen.Peers, Front: g.settings.Listen.Front, Ready: g.Ready(),
 		CatalogVersion: g.catalog.Version(), StoreChanged: g.applied().changed, Retained: g.follower.Retained(),
-		Load: g.registry.OwnLoad(clock.Now()), StoreHeard: g.follower.Heard(), StoreFailing: g.follower.Failing(),
-		Found: g.registry.Found(clock.Now()), Suspects: g.suspects.Told, Limits: g.limits.table.Told,
+		Load: g.registry.OwnLoad(clock.Now()), LastStoreAnswer: g.follower.LastAnswer(), StoreFailing: g.follower.Failing(),
+		Found: g.registry.Found(clock.Now()), Suspects: g.suspects.Report, Limits: g.limits.table.Report,
 		Activity: cluster.Activity{
 			Active: g.activity.isActive() && !g.leaving.Load(), Millicores: g.settings.Machine.millicores(), Arrivals: g.activity.rate(),
 		},
@@ -217,7 +217,7 @@
 			g.limits.maintain(now)
 			g.decideActivity(now)
 			g.peering.reconcile(ctx)
-			g.peering.pool.Trim(now.Add(-linkIdle))
+			g.peering.pool.CloseIdle(now.Add(-linkIdle))
 			g.follower.Recheck()
 		}
 	}
--- a/entry/gateway/gateway_test.go
+++ b/entry/gateway/gateway_test.go
@@ -333,8 +333,8 @@
 			return
 		}
 		events(rw, 1, 2)
-		slow := cluster.Pace{Engine: r.Context().Value(http.LocalAddrContextKey).(net.Addr).String(), Pace: 3}
-		agent.TellPace([]string{w.gateway.settings.Listen.Peers}, slow)
+		slow := cluster.Slowdown{Engine: r.Context().Value(http.LocalAddrContextKey).(net.Addr).String(), Slowdown: 3}
+		agent.ReportSlowdown([]string{w.gateway.settings.Listen.Peers}, slow)
 		time.Sleep(100 * time.Millisecond)
 		events(rw, 3, 3)
 		<-r.Context().Done() // the gateway has moved the stream away
