--- a/entry/gateway/hold.go
+++ b/entry/gateway/hold.go
@@ -53,8 +53,8 @@
 	answer, err := server.Pool.Do(ctx, &upstream.Request{
 		Method: http.MethodPost, Target: o.Target, Host: server.Address, Header: header, Body: o.Body, IDHeader: g.headers.RequestID,
 		Check: func() error {
-			if server.Rests(clock.Now()) {
-				return balance.ErrResting
+			if server.HasBackoff(clock.Now()) {
+				return balance.ErrInBackoff
 			}
 			return nil
 		},
--- a/entry/gateway/hold_test.go
+++ b/entry/gateway/hold_test.go
@@ -50,10 +50,10 @@
 			t.Fatal("the hold order did not arrive")
 		}
 	}
-	for until := time.Now().Add(2 * time.Second); !server.Rests(clock.Now()) && time.Now().Before(until); {
+	for until := time.Now().Add(2 * time.Second); !server.HasBackoff(clock.Now()) && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
-	is.True(server.Rests(clock.Now())) // requested by the answer to the order
+	is.True(server.HasBackoff(clock.Now())) // requested by the answer to the order
 	agent.AskHold(to, cluster.Hold{Engine: server.Address, Epoch: 1, Step: 9})
 	select {
 	case got := <-held:
--- a/entry/gateway/limit.go
+++ b/entry/gateway/limit.go
@@ -76,16 +76,16 @@
 	return peer, own
 }
 
-// Part implements ratelimit.Network.
-func (l *limits) Part() float64 { return l.g.node.Reached() }
+// ReachableFraction implements ratelimit.Network.
+func (l *limits) ReachableFraction() float64 { return l.g.node.Reached() }
 
-// Ask implements ratelimit.Network.
-func (l *limits) Ask(ctx context.Context, grantor vm.ID, s ratelimit.Statement) (ratelimit.Grant, error) {
+// RequestPermit implements ratelimit.Network.
+func (l *limits) RequestPermit(ctx context.Context, grantor vm.ID, s ratelimit.Observation) (ratelimit.Grant, error) {
 	peer, _ := l.grantor(s.Server)
 	if peer == nil || peer.VM != grantor {
 		return ratelimit.Grant{}, eris.Wrapf(errPermit, "%s no longer grants permits", grantor)
 	}
-	reply, err := l.g.peering.call(ctx, *peer, &wire.Call{Body: &wire.Call_Permit{Permit: s.AskToWire(clock.Now())}})
+	reply, err := l.g.peering.call(ctx, *peer, &wire.Call{Body: &wire.Call_Permit{Permit: s.PermitRequestToWire(clock.Now())}})
 	if err != nil {
 		l.g.log.Warn().Err(err).Str("peer", string(grantor)).Uint64("server_incarnation", uint64(s.Server)).Msg("permit not asked")
 		return ratelimit.Grant{}, err
@@ -106,7 +106,7 @@
 // receiveReports takes in the limits that another gateway reports.
 func (l *limits) receiveReports(from vm.ID, reported []*wire.ServerLimit) {
 	now := clock.Now()
-	for _, server := range l.table.Hear(from, reported, now) {
+	for _, server := range l.table.ReceiveLimits(from, reported, now) {
 		l.g.registry.LimitEnded(server, now)
 	}
 }
@@ -118,10 +118,10 @@
 	l.imposeCold(server.Info, reported.Cold, now)
 	own := answer.Header.Get(l.g.headers.RequestID) != "" && answer.Header.Get(l.g.headers.NotRun) == "" &&
 		answer.Status < http.StatusInternalServerError
-	if answer.Status == http.StatusMisdirectedRequest || reported.Limit.Kind == ratelimit.SaidNone && !own {
+	if answer.Status == http.StatusMisdirectedRequest || reported.Limit.Kind == ratelimit.LimitNone && !own {
 		return
 	}
-	if l.table.Heard(server.Limit(), reported.Limit, sent, now) {
+	if l.table.Record(server.Limit(), reported.Limit, sent, now) {
 		l.g.registry.LimitEnded(server.Limit(), now)
 	}
 }
@@ -136,7 +136,7 @@
 }
 
 // limitOf returns the limit of a server, to be logged with a request to it.
-func (l *limits) limitOf(server *balance.Server) *ratelimit.Known {
+func (l *limits) limitOf(server *balance.Server) *ratelimit.KnownLimit {
 	for _, key := range server.Limits() {
 		if limit, ok := l.table.Get(key); ok {
 			return &limit
--- a/entry/gateway/notice.go
+++ b/entry/gateway/notice.go
@@ -23,11 +23,11 @@
 		g.inst.leavingNotices.Inc()
 		g.registry.SaysLeaving(server)
 	}
-	if reported.Rest > 0 {
-		until, before := g.registry.Rested(server, reported.Rest, now)
+	if reported.Backoff > 0 {
+		until, before := g.registry.StartBackoff(server, reported.Backoff, now)
 		g.inst.backoffRequested(server.ID)
 		g.log.Info().Str("server", server.ID).Uint64("server_incarnation", server.Incarnation()).Str("service", server.Service).
-			Str("asked", via).Int("status", answer.Status).Dur("rest", reported.Rest).Dur("left_out", until.Sub(now)).Bool("rested", before).
+			Str("asked", via).Int("status", answer.Status).Dur("rest", reported.Backoff).Dur("left_out", until.Sub(now)).Bool("rested", before).
 			Msg("backend server asks for rest")
 	}
 	return reported
--- a/entry/gateway/notice_test.go
+++ b/entry/gateway/notice_test.go
@@ -27,8 +27,8 @@
 		says   func(http.Header)
 		found  balance.Availability
 	}{
-		{"backoff, rejected", 503, true, backoff, balance.Resting},
-		{"backoff, ran", 503, false, backoff, balance.Resting},
+		{"backoff, rejected", 503, true, backoff, balance.InBackoff},
+		{"backoff, ran", 503, false, backoff, balance.InBackoff},
 		{"leaving, answered", 200, false, leave, balance.Leaving},
 		{"leaving, rejected", 503, true, leave, balance.Leaving},
 		{"leaving, failed", 500, false, leave, balance.Leaving},
@@ -75,7 +75,7 @@
 		note func(*Gateway, *balance.Server)
 		want error
 	}{
-		{"backoff", func(g *Gateway, s *balance.Server) { g.registry.Rested(s, time.Minute, clock.Now()) }, balance.ErrResting},
+		{"backoff", func(g *Gateway, s *balance.Server) { g.registry.StartBackoff(s, time.Minute, clock.Now()) }, balance.ErrInBackoff},
 		{"leaving", func(g *Gateway, s *balance.Server) { g.registry.SaysLeaving(s) }, errOutdated},
 		{"nothing", func(*Gateway, *balance.Server) {}, nil},
 	}
@@ -118,7 +118,7 @@
 		<-began
 		choice, _ := w.gateway.registry.Pick(balance.Demand{Service: "s"}, clock.Now())
 		choice.Release()
-		w.gateway.registry.Rested(choice.Server, time.Minute, clock.Now())
+		w.gateway.registry.StartBackoff(choice.Server, time.Minute, clock.Now())
 		w.gateway.registry.SaysLeaving(choice.Server)
 		close(goOn)
 	}()
--- a/entry/gateway/patience.go
+++ b/entry/gateway/patience.go
@@ -54,7 +54,7 @@
 // for concurrent use.
 type serviceState struct {
 	mu                 sync.Mutex
-	outage             admission.Stand
+	outage             admission.Outage
 	pacer              admission.Pacer
 	permitWait         admission.Line        // queue of requests that wait for a permit or for the end of a backoff
 	permitPacer        admission.PermitPacer // Retry-After of callers refused for lack of one
@@ -98,7 +98,7 @@
 func (s *serviceState) serviceDown(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.outage.Stands(now)
+	return s.outage.Observe(now)
 }
 
 // adjustWaiting counts a late request that starts (1) or stops (-1) waiting.
@@ -125,7 +125,7 @@
 	s := q.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return admission.Situation{Back: s.outage.Back(now), Waiting: s.lateWaiting, Room: late.Room, Taken: late.Taken, Stay: late.Stay}
+	return admission.Situation{RecoversIn: s.outage.RecoversIn(now), Waiting: s.lateWaiting, Quota: late.Quota, Taken: late.Taken, Stay: late.Stay}
 }
 
 // admissionRequest returns the properties of the request that admission decisions depend
@@ -163,7 +163,7 @@
 func (q *request) demand(now time.Time) balance.Demand {
 	r := q.admissionRequest(now)
 	d := balance.Demand{
-		Service: q.service, Exclude: q.excluded, Proven: q.rejected, Again: q.sequence.Attempts() > 0, Late: r.Urgency() != admission.Punctual, Occupies: q.route.Objective,
+		Service: q.service, Exclude: q.excluded, Proven: q.rejected, Again: q.sequence.Attempts() > 0, Late: r.Urgency() != admission.OnTime, Occupies: q.route.Objective,
 	}
 	if q.route.Kind == catalog.KindStream {
 		d.GapTarget = q.route.GapTarget
@@ -181,10 +181,10 @@
 	if r.Objective == 0 {
 		return 0
 	}
-	if r.Urgency() != admission.Punctual {
+	if r.Urgency() != admission.OnTime {
 		return freeSlotWait
 	}
-	return max(freeSlotWait, r.Spare())
+	return max(freeSlotWait, r.Slack())
 }
 
 // holdThreshold returns the pause between events from which the request waits for shorter
@@ -230,13 +230,13 @@
 		switch found {
 		case balance.Limited:
 			keepWaiting = q.mayWaitForPermit(admissionRequest, now)
-		case balance.Resting:
+		case balance.InBackoff:
 			keepWaiting = q.mayWaitForBackoff(admissionRequest, now)
 		}
 		if !keepWaiting || admissionRequest.Urgency() == admission.Hopeless {
 			return choice, found
 		}
-		if found == balance.Limited || found == balance.Resting {
+		if found == balance.Limited || found == balance.InBackoff {
 			q.joinPermitQueue(found, now)
 		}
 		if !queued && admissionRequest.Urgency() == admission.Late {
@@ -261,8 +261,8 @@
 	d := q.demand(now)
 	d.Avoid = q.avoidedServers(now)
 	choice, found := q.g.registry.Pick(d, now)
-	q.atLimit, q.backingOff = choice.Load.AtLimit, choice.Load.Resting
-	serviceDown := found == balance.Standing || found == balance.Unavailable && len(q.excluded) == 0 && !q.rejected
+	q.atLimit, q.backingOff = choice.Load.AtLimit, choice.Load.InBackoff
+	serviceDown := found == balance.Stalled || found == balance.Unavailable && len(q.excluded) == 0 && !q.rejected
 	if serviceDown && q.state.serviceDown(now) {
 		q.g.inst.outageStarted(q.service)
 		q.log.Warn().Str("service", q.service).Str("found", found.String()).Int("slots", choice.Load.Slots).
@@ -322,7 +322,7 @@
 func (q *request) retryAfter(r contract.Refusal) time.Duration {
 	now := clock.Now()
 	switch r.Reason {
-	case contract.ReasonNoBackend, contract.ReasonOverload, contract.ReasonReplacedAgent:
+	case contract.ReasonNoBackend, contract.ReasonOverload, contract.ReasonAgentReplaced:
 		if q.state != nil {
 			return q.overloadRetryAfter(now)
 		}
@@ -330,13 +330,13 @@
 		if q.state != nil {
 			return q.permitRetryAfter(now)
 		}
-	case contract.ReasonRest:
+	case contract.ReasonBackoff:
 		if q.state != nil {
 			return q.backoffRetryAfter(now)
 		}
 	case contract.ReasonQuarantined:
 		if q.quarantined != nil {
-			return q.quarantined.Left
+			return q.quarantined.Remaining
 		}
 	case contract.ReasonStarting, contract.ReasonEvacuated, contract.ReasonDraining:
 		return spreadOut(max(r.RetryAfter, outageRetryAfter))
--- a/entry/gateway/patience_test.go
+++ b/entry/gateway/patience_test.go
@@ -25,7 +25,7 @@
 			q := request{route: route, state: &serviceState{}, began: time.Unix(0, 0)}
 			limit := time.Duration(part * float64(route.Timeout))
 			q.deadline = q.began.Add(limit)
-			if got := q.admissionRequest(q.began).Urgency(); got != admission.Punctual {
+			if got := q.admissionRequest(q.began).Urgency(); got != admission.OnTime {
 				t.Fatalf("%s: a request with a deadline of %s has urgency %s", route.Name, limit, got)
 			}
 			if q.demand(q.began).Late {
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -58,20 +58,20 @@
 }
 
 // followState returns what this gateway knows of the store's state.
-func (g *Gateway) followState() follow.Standing {
-	return follow.Standing{
+func (g *Gateway) followState() follow.State {
+	return follow.State{
 		Changed: g.applied().changed, Catalog: g.catalog.Version(), Retained: g.follower.Retained(), Listed: g.listed.Load(),
-		Resting: g.peering.passive.Load(), Active: g.activity.isActive(), Failing: g.follower.Failing(),
+		Passive: g.peering.passive.Load(), Active: g.activity.isActive(), Failing: g.follower.Failing(),
 	}
 }
 
 // decideRole returns the gateway's role in following the store.
-func (p *peering) decideRole() source.Duty {
+func (p *peering) decideRole() source.Role {
 	g := p.gateway
 	live := g.node.Live()
 	next := p.election.Decide(live, g.followState(), clock.Now())
-	p.passive.Store(next == source.DutyRest)
-	if before := source.Duty(p.lastRole.Swap(int32(next))); before != next {
+	p.passive.Store(next == source.RolePassive)
+	if before := source.Role(p.lastRole.Swap(int32(next))); before != next {
 		g.log.Info().Stringer("duty", next).Stringer("before", before).Int("gateways", len(live)+1).Msg("following of the store changed")
 	}
 	return next
@@ -83,7 +83,7 @@
 // run compares with other gateways at short intervals while they follow the store on behalf
 // of this one.
 func (p *peering) run(ctx context.Context) {
-	for wait.Sleep(ctx, follow.RestLook) {
+	for wait.Sleep(ctx, follow.NonFollowerCheckInterval) {
 		if p.passive.Load() {
 			p.reconcile(ctx)
 		}
@@ -96,7 +96,7 @@
 	g := p.gateway
 	own, live := g.followState(), g.node.Live()
 	p.mu.Lock()
-	step := p.exchange.Look(own, live, clock.Now())
+	step := p.exchange.Check(own, live, clock.Now())
 	p.mu.Unlock()
 	if step.Nudge != (source.Position{}) {
 		g.follower.Nudge(step.Nudge)
@@ -110,17 +110,17 @@
 func (p *peering) pull(ctx context.Context, from cluster.Peer) {
 	state, err := p.fetch(ctx, from)
 	p.mu.Lock()
-	p.exchange.Ended(from.VM)
+	p.exchange.PullEnded(from.VM)
 	p.mu.Unlock()
 	log := p.gateway.log.Info()
 	if err != nil {
 		log = p.gateway.log.Warn().Err(err)
 	}
 	own := p.gateway.applied()
-	log.Str("peer", string(from.VM)).Uint64("era", state.Era).Uint64("revision", state.Revision).
-		Uint64("known_era", own.changed.Era).Uint64("known", own.changed.Revision).
+	log.Str("peer", string(from.VM)).Uint64("era", state.Term).Uint64("revision", state.Revision).
+		Uint64("known_era", own.changed.Term).Uint64("known", own.changed.Revision).
 		Uint64("version", from.CatalogVersion).Uint64("in_force", p.gateway.catalog.Version()).
-		Int("kept", len(state.Kept)).Msg("state asked from another gateway")
+		Int("kept", len(state.RetainedItems)).Msg("state asked from another gateway")
 	if err == nil && state.Changed != (source.Position{}) {
 		state.From = string(from.VM)
 		p.gateway.follower.Offer(state)
@@ -131,7 +131,7 @@
 	ctx, cancel := context.WithTimeout(ctx, follow.PullTimeout)
 	defer cancel()
 	at := p.gateway.applied().at
-	pull := &wire.SourcePull{Era: at.Era, After: at.Revision, Removals: from.Retained != p.gateway.follower.Retained()}
+	pull := &wire.SourcePull{Era: at.Term, After: at.Revision, Removals: from.Retained != p.gateway.follower.Retained()}
 	reply, err := p.call(ctx, from, &wire.Call{Body: &wire.Call_Source{Source: pull}})
 	if err != nil {
 		return source.State{}, err
@@ -158,10 +158,10 @@
 	switch {
 	case call.GetSource() != nil:
 		pull := call.GetSource()
-		state := p.gateway.follower.Since(source.Position{Era: pull.GetEra(), Revision: pull.GetAfter()}, pull.GetRemovals())
+		state := p.gateway.follower.Since(source.Position{Term: pull.GetEra(), Revision: pull.GetAfter()}, pull.GetRemovals())
 		reply.Body = &wire.Reply_Source{Source: p.encoder.reply(state, clock.Now())}
 	case call.GetSuspects() != nil:
-		reply.Body = &wire.Reply_Suspects{Suspects: &wire.Suspects{Suspects: p.gateway.suspects.All(clock.Now())}}
+		reply.Body = &wire.Reply_Suspects{Suspects: &wire.Suspects{Suspects: p.gateway.suspects.FullReport(clock.Now())}}
 	case call.GetPermit() != nil:
 		reply.Body = &wire.Reply_Permit{Permit: p.gateway.limits.grantPermit(call.GetPermit())}
 	default:
--- a/entry/gateway/probe.go
+++ b/entry/gateway/probe.go
@@ -47,7 +47,7 @@
 // nothing any more, is not probed now.
 func (g *Gateway) probeOne(ctx context.Context, server *balance.Server) {
 	good, err := g.probeServer(ctx, server)
-	if errors.Is(err, ratelimit.ErrClosed) || errors.Is(err, errOutdated) || errors.Is(err, balance.ErrResting) {
+	if errors.Is(err, ratelimit.ErrClosed) || errors.Is(err, errOutdated) || errors.Is(err, balance.ErrInBackoff) {
 		g.registry.NotProbed(server)
 		return
 	}
--- a/entry/gateway/quarantine.go
+++ b/entry/gateway/quarantine.go
@@ -134,7 +134,7 @@
 		log = p.gateway.log.Warn().Err(err)
 	}
 	log.Str("peer", string(from.VM)).Int("suspects", len(suspects)).Msg("suspects asked from another gateway")
-	p.gateway.suspects.Hear(from.VM, suspects, clock.Now())
+	p.gateway.suspects.Receive(from.VM, suspects, clock.Now())
 }
 
 func (p *peering) fetchSuspects(ctx context.Context, from cluster.Peer) ([]*wire.Suspect, error) {
--- a/entry/gateway/renew.go
+++ b/entry/gateway/renew.go
@@ -41,7 +41,7 @@
 		return denied(contract.ReasonUnknownService, http.StatusNotFound)
 	}
 	team, priority := "", route.Priority
-	if s.Keyed() && !route.Public {
+	if s.RequiresKey() && !route.Public {
 		t := s.Team(q.r.Header.Get(q.g.headers.APIKey))
 		if t == nil {
 			q.route = route
--- a/entry/gateway/request.go
+++ b/entry/gateway/request.go
@@ -71,11 +71,11 @@
 	backingOff int              // servers excluded at the latest pick because they are in backoff
 	queueUntil time.Time        // until when it waits for a permit or for the end of a backoff
 
-	server         string           // server of the latest attempt
-	serverLimit    *ratelimit.Known // limit that the server had named when the attempt was made, nil = none
-	sent           appliedState     // store state that was known when the attempt was made
-	serverLoad     int              // load of the server from all gateways when it was picked, in requests
-	serverEventGap time.Duration    // pause between events of the server then, 0 = not known
+	server         string                // server of the latest attempt
+	serverLimit    *ratelimit.KnownLimit // limit that the server had named when the attempt was made, nil = none
+	sent           appliedState          // store state that was known when the attempt was made
+	serverLoad     int                   // load of the server from all gateways when it was picked, in requests
+	serverEventGap time.Duration         // pause between events of the server then, 0 = not known
 	firstAnswer    time.Duration
 	lastEvent      time.Time // when the latest event was sent to the caller
 	longestGap     time.Duration
--- a/entry/gateway/state.go
+++ b/entry/gateway/state.go
@@ -38,7 +38,7 @@
 
 func (p *packer) reply(s source.State, now time.Time) *wire.SourceReply {
 	out := &wire.SourceReply{
-		Era: s.Era, Revision: s.Revision, ChangedEra: s.Changed.Era, Changed: s.Changed.Revision,
+		Era: s.Term, Revision: s.Revision, ChangedEra: s.Changed.Term, Changed: s.Changed.Revision,
 		After: s.After.Revision, Base: s.Base.Revision,
 	}
 	for _, item := range s.Items {
@@ -49,7 +49,7 @@
 		item.Removed = e.Removed
 		out.Items = append(out.Items, item)
 	}
-	for _, k := range s.Kept {
+	for _, k := range s.RetainedItems {
 		out.Kept = append(out.Kept, p.item(k))
 	}
 	for _, g := range s.Gone {
@@ -62,7 +62,7 @@
 }
 
 func (p *packer) item(i source.Item) *wire.SourceItem {
-	out := &wire.SourceItem{Key: i.Key, Value: i.Value, Era: i.Era, Revision: i.Revision}
+	out := &wire.SourceItem{Key: i.Key, Value: i.Value, Era: i.Term, Revision: i.Revision}
 	if len(i.Value) >= minPackedSize {
 		out.Value, out.Packed = p.pack(i), true
 	}
@@ -92,9 +92,9 @@
 }
 
 func stateFromWire(w *wire.SourceReply, now time.Time) (source.State, error) {
-	at := func(revision uint64) source.Position { return source.Position{Era: w.GetEra(), Revision: revision} }
+	at := func(revision uint64) source.Position { return source.Position{Term: w.GetEra(), Revision: revision} }
 	out := source.State{
-		Position: at(w.GetRevision()), Changed: source.Position{Era: w.GetChangedEra(), Revision: w.GetChanged()},
+		Position: at(w.GetRevision()), Changed: source.Position{Term: w.GetChangedEra(), Revision: w.GetChanged()},
 		Base: at(w.GetBase()),
 	}
 	if w.GetAfter() == 0 {
@@ -118,7 +118,7 @@
 		if err != nil {
 			return source.State{}, err
 		}
-		out.Kept = append(out.Kept, item)
+		out.RetainedItems = append(out.RetainedItems, item)
 	}
 	for _, i := range w.GetGone() {
 		item, err := itemFromWire(i)
@@ -133,7 +133,7 @@
 
 func itemFromWire(w *wire.SourceItem) (source.Item, error) {
 	out := source.Item{
-		Key: w.GetKey(), Value: w.GetValue(), Position: source.Position{Era: w.GetEra(), Revision: w.GetRevision()},
+		Key: w.GetKey(), Value: w.GetValue(), Position: source.Position{Term: w.GetEra(), Revision: w.GetRevision()},
 	}
 	if !w.GetPacked() {
 		return out, nil
--- a/entry/gateway/stream.go
+++ b/entry/gateway/stream.go
@@ -109,10 +109,10 @@
 		if first {
 			first = false
 			s.onFirstEvent()
-			server.Pace.Begun(now)
-			defer server.Pace.Ended()
+			server.StreamGap.Begun(now)
+			defer server.StreamGap.Ended()
 		} else {
-			server.Pace.Event(now.Sub(last), now)
+			server.StreamGap.Event(now.Sub(last), now)
 		}
 		last, q.lastEvent = now, now
 		q.events++
@@ -138,7 +138,7 @@
 // the stream is resumed there. All ranks of a group wait for the slow one as long as it has
 // any work.
 func (q *request) move(from *balance.Server, s *streamState) bool {
-	if s.lastID == "" || !q.route.Idempotent() || !q.g.registry.Spared(from) {
+	if s.lastID == "" || !q.route.Idempotent() || !q.g.registry.TooSlow(from) {
 		return false
 	}
 	now := clock.Now()
@@ -150,7 +150,7 @@
 	if found != balance.Available {
 		return false
 	}
-	if !q.sequence.Leave(now) || !q.chargeRetry() {
+	if !q.sequence.Abandon(now) || !q.chargeRetry() {
 		choice.Release()
 		return false
 	}
--- a/entry/gateway/stream_test.go
+++ b/entry/gateway/stream_test.go
@@ -35,8 +35,8 @@
 	from, found := w.gateway.registry.Pick(balance.Demand{Service: "s"}, time.Now())
 	is.Equal(found, balance.Available)
 	is.True(!q.move(from.Server, &streamState{lastID: "3"})) // its rank runs at normal speed
-	agent.TellPace([]string{w.gateway.settings.Listen.Peers}, cluster.Pace{Engine: from.Server.Address, Pace: 3})
-	for until := time.Now().Add(time.Second); !w.gateway.registry.Spared(from.Server) && time.Now().Before(until); {
+	agent.ReportSlowdown([]string{w.gateway.settings.Listen.Peers}, cluster.Slowdown{Engine: from.Server.Address, Slowdown: 3})
+	for until := time.Now().Add(time.Second); !w.gateway.registry.TooSlow(from.Server) && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 	q.state, q.lastEvent = w.gateway.serviceStateOf("s"), time.Now()
--- a/entry/gateway/turn.go
+++ b/entry/gateway/turn.go
@@ -34,8 +34,8 @@
 	switch {
 	case ahead < p.Open:
 		return balance.Available
-	case p.Resting > 0:
-		return balance.Resting
+	case p.InBackoff > 0:
+		return balance.InBackoff
 	default:
 		return balance.Limited
 	}
@@ -74,7 +74,7 @@
 		return admissionRequest.Urgency() != admission.Hopeless
 	}
 	if q.permitWait != nil {
-		return now.Before(q.queueUntil) && admissionRequest.Urgency() == admission.Punctual
+		return now.Before(q.queueUntil) && admissionRequest.Urgency() == admission.OnTime
 	}
 	return admission.MayWaitForPermit(admissionRequest, q.queueEstimate(now))
 }
@@ -82,9 +82,9 @@
 // mayWaitForBackoff reports whether the request waits for the end of a server's backoff.
 func (q *request) mayWaitForBackoff(admissionRequest admission.Request, now time.Time) bool {
 	if q.permitWait != nil {
-		return now.Before(q.queueUntil) && admission.MayStayForRest(admissionRequest, q.queueEstimate(now))
+		return now.Before(q.queueUntil) && admission.MayKeepWaitingForBackoff(admissionRequest, q.queueEstimate(now))
 	}
-	return admission.MayWaitForRest(admissionRequest, q.queueEstimate(now))
+	return admission.MayWaitForBackoff(admissionRequest, q.queueEstimate(now))
 }
 
 // permitRetryAfter returns the time after which a caller that got no permit may retry.
@@ -103,7 +103,7 @@
 	s := q.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.permitPacer.PauseAfterRest(queueEstimate, rand.Float64(), now)
+	return s.permitPacer.PauseAfterBackoff(queueEstimate, rand.Float64(), now)
 }
 
 // hasPermitQueue reports whether requests wait for a permit.
@@ -127,8 +127,8 @@
 		return
 	}
 	by := q.queueEstimate(now).PermitBy()
-	if found == balance.Resting {
-		by = q.queueEstimate(now).RestBy()
+	if found == balance.InBackoff {
+		by = q.queueEstimate(now).BackoffWaitLimit()
 	}
 	q.queueUntil = now.Add(by)
 	q.permitWait = q.newQueueEntry(now)
--- a/entry/limits/grantor.go
+++ b/entry/limits/grantor.go
@@ -29,8 +29,8 @@
 	return remainder * min(reachable, n) / max(1, n)
 }
 
-// Ask is a request for a lease on a share of one team's limit.
-type Ask struct {
+// LeaseRequest is a request for a lease on a share of one team's limit.
+type LeaseRequest struct {
 	From   vm.ID
 	Demand int // number of requests running and refused
 	// HeldSequence, Held and HeldFor are the sequence number, the share and the remaining
@@ -76,13 +76,13 @@
 type Fleet struct {
 	Listed    int // entry VMs on the list
 	Reachable int // listed entry VMs that are usable, including this one
-	// Stable is the time since which this VM has been the team's grantor. Leases of an
+	// GrantorSince is the time since which this VM has been the team's grantor. Leases of an
 	// earlier grantor may still be in use after it.
-	Stable time.Time
+	GrantorSince time.Time
 }
 
 // Handle answers a request for a lease on a share of the limit.
-func (g *Grantor) Handle(a Ask, limit int, f Fleet, now time.Time) Grant {
+func (g *Grantor) Handle(a LeaseRequest, limit int, f Fleet, now time.Time) Grant {
 	g.expire(now)
 	h := g.holders[a.From]
 	if h == nil {
@@ -94,7 +94,7 @@
 	available := pool(limit, f.Listed, f.Reachable) - g.heldByOthers(a.From)
 	target := g.target(a.From, pool(limit, f.Listed, f.Reachable), Base(limit, f.Listed))
 	share := max(0, min(target, available))
-	if now.Sub(f.Stable) < LeaseTime {
+	if now.Sub(f.GrantorSince) < LeaseTime {
 		share = min(share, a.Held) // leases of an earlier grantor may be in use
 	}
 	g.next++
@@ -104,7 +104,7 @@
 
 // confirm drops the leases before the one that the holder reports to use. If this grantor
 // does not know that lease, an earlier grantor granted it, and it is added.
-func (h *holderState) confirm(a Ask, now time.Time) {
+func (h *holderState) confirm(a LeaseRequest, now time.Time) {
 	for i, l := range h.leases {
 		if l.sequence == a.HeldSequence {
 			h.leases = h.leases[i:]
--- a/entry/limits/holder.go
+++ b/entry/limits/holder.go
@@ -70,10 +70,10 @@
 	return h.running == 0 && !now.Before(h.until) && now.Sub(h.used) > LeaseTime
 }
 
-// Ask returns the lease request to send now.
-func (h *Holder) Ask(self vm.ID, now time.Time) Ask {
+// LeaseRequest returns the lease request to send now.
+func (h *Holder) LeaseRequest(self vm.ID, now time.Time) LeaseRequest {
 	h.requested = now
-	a := Ask{From: self, Demand: max(h.peak, h.running) + h.refused, HeldSequence: h.sequence, Held: h.leased(now)}
+	a := LeaseRequest{From: self, Demand: max(h.peak, h.running) + h.refused, HeldSequence: h.sequence, Held: h.leased(now)}
 	if a.Held > 0 {
 		a.HeldFor = h.until.Sub(now)
 	}
--- a/entry/limits/limits.go
+++ b/entry/limits/limits.go
@@ -26,10 +26,10 @@
 	renewInterval = 200 * time.Millisecond
 )
 
-// TeamAsk is a lease request for one team.
-type TeamAsk struct {
+// TeamLeaseRequest is a lease request for one team.
+type TeamLeaseRequest struct {
 	Team string
-	Ask
+	LeaseRequest
 }
 
 // TeamGrant is a granted lease for one team.
@@ -48,8 +48,8 @@
 	// preference. The second one is called if the first does not answer. It only renews
 	// the leases that holders have, so that they survive the failure of the first.
 	Grantors(team string) [2]vm.ID
-	// Ask sends lease requests to a grantor, which may be this VM itself.
-	Ask(ctx context.Context, grantor vm.ID, requests []TeamAsk) ([]TeamGrant, error)
+	// RequestLeases sends lease requests to a grantor, which may be this VM itself.
+	RequestLeases(ctx context.Context, grantor vm.ID, requests []TeamLeaseRequest) ([]TeamGrant, error)
 	// Team returns a team's resource.
 	Team(name string) (resource.Team, bool)
 }
@@ -167,9 +167,9 @@
 	s := &l.shards[l.index(name)]
 	s.mu.Lock()
 	sent := clock.Now()
-	request := TeamAsk{Team: name, Ask: t.holder.Ask(l.self, sent)}
+	request := TeamLeaseRequest{Team: name, LeaseRequest: t.holder.LeaseRequest(l.self, sent)}
 	s.mu.Unlock()
-	l.exchange([]TeamAsk{request}, sent)
+	l.exchange([]TeamLeaseRequest{request}, sent)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(t.pending)
@@ -179,9 +179,9 @@
 // exchange sends the lease requests to the teams' first grantors and, for those that do not
 // answer, to the second ones. If neither answers, the leases expire and only the base shares
 // remain.
-func (l *Limiter) exchange(requests []TeamAsk, sent time.Time) {
+func (l *Limiter) exchange(requests []TeamLeaseRequest, sent time.Time) {
 	for choice := range 2 {
-		byGrantor := make(map[vm.ID][]TeamAsk)
+		byGrantor := make(map[vm.ID][]TeamLeaseRequest)
 		for _, a := range requests {
 			to := l.net.Grantors(a.Team)[choice]
 			byGrantor[to] = append(byGrantor[to], a)
@@ -197,10 +197,10 @@
 
 // call sends lease requests to one grantor, applies the granted leases and reports whether the
 // grantor answered.
-func (l *Limiter) call(grantor vm.ID, requests []TeamAsk, sent time.Time) bool {
+func (l *Limiter) call(grantor vm.ID, requests []TeamLeaseRequest, sent time.Time) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	grants, err := l.net.Ask(ctx, grantor, requests)
+	grants, err := l.net.RequestLeases(ctx, grantor, requests)
 	if err != nil {
 		return false
 	}
@@ -241,7 +241,7 @@
 
 // renew requests all leases that are due, with one call per grantor.
 func (l *Limiter) renew(now time.Time) {
-	requests := make(map[vm.ID][]TeamAsk)
+	requests := make(map[vm.ID][]TeamLeaseRequest)
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock()
@@ -251,7 +251,7 @@
 				delete(s.teams, name)
 			case t.holder.Due(now):
 				to := l.net.Grantors(name)[0]
-				requests[to] = append(requests[to], TeamAsk{Team: name, Ask: t.holder.Ask(l.self, now)})
+				requests[to] = append(requests[to], TeamLeaseRequest{Team: name, LeaseRequest: t.holder.LeaseRequest(l.self, now)})
 			}
 		}
 		s.mu.Unlock()
@@ -262,7 +262,7 @@
 }
 
 // Grant answers lease requests as the grantor of their teams.
-func (l *Limiter) Grant(requests []TeamAsk) []TeamGrant {
+func (l *Limiter) Grant(requests []TeamLeaseRequest) []TeamGrant {
 	out := make([]TeamGrant, 0, len(requests))
 	for _, a := range requests {
 		team, ok := l.net.Team(a.Team)
@@ -277,7 +277,7 @@
 			g = NewGrantor(now)
 			s.grantors[a.Team] = g
 		}
-		grant := g.Handle(a.Ask, team.Concurrency, l.net.Fleet(a.Team), now)
+		grant := g.Handle(a.LeaseRequest, team.Concurrency, l.net.Fleet(a.Team), now)
 		s.mu.Unlock()
 		out = append(out, TeamGrant{Team: a.Team, Grant: grant})
 	}
--- a/entry/limits/limits_test.go
+++ b/entry/limits/limits_test.go
@@ -18,7 +18,7 @@
 // exchange is a lease request in transit, with its answer once the grantor has handled it.
 type exchange struct {
 	holder  int
-	request Ask
+	request LeaseRequest
 	sent    time.Time
 	grant   *Grant
 }
@@ -28,7 +28,7 @@
 func TestLeasesNeverExceedThePool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit, listed = 100, 4
-		fleet := Fleet{Listed: listed, Reachable: listed, Stable: start.Add(-time.Hour)}
+		fleet := Fleet{Listed: listed, Reachable: listed, GrantorSince: start.Add(-time.Hour)}
 		now := start
 		grantor := NewGrantor(now)
 		holders := make([]Holder, listed)
@@ -38,7 +38,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0: // send a lease request
 				holders[i].peak = rapid.IntRange(0, 150).Draw(t, "demand")
-				inTransit = append(inTransit, &exchange{holder: i, request: holders[i].Ask(vm.ID(fmt.Sprint(i)), now), sent: now})
+				inTransit = append(inTransit, &exchange{holder: i, request: holders[i].LeaseRequest(vm.ID(fmt.Sprint(i)), now), sent: now})
 			case 1, 2: // the grantor handles a lease request, or the holder its answer
 				if len(inTransit) == 0 {
 					continue
@@ -78,35 +78,35 @@
 	h.Granted(Grant{Sequence: 2, Share: 0, Duration: LeaseTime}, start)
 	h.Granted(Grant{Sequence: 1, Share: 20, Duration: LeaseTime}, start)
 	is.Equal(h.leased(start), 0)
-	is.Equal(h.Ask("a", start).HeldSequence, uint64(2))
+	is.Equal(h.LeaseRequest("a", start).HeldSequence, uint64(2))
 	h.Granted(Grant{Sequence: 3, Share: 10, Duration: LeaseTime}, start)
 	is.Equal(h.leased(start), 10)
 }
 
 func TestNewGrantorGrantsNothingMoreUntilEarlierLeasesEnded(t *testing.T) {
 	is := is.New(t)
-	fleet := Fleet{Listed: 4, Reachable: 4, Stable: start}
+	fleet := Fleet{Listed: 4, Reachable: 4, GrantorSince: start}
 	g := NewGrantor(start)
-	is.Equal(g.Handle(Ask{From: "a", Demand: 50}, 100, fleet, start.Add(LeaseTime/2)).Share, 0)
-	held := g.Handle(Ask{From: "b", Demand: 50, HeldSequence: 7, Held: 30, HeldFor: LeaseTime / 4}, 100, fleet, start.Add(LeaseTime/2))
+	is.Equal(g.Handle(LeaseRequest{From: "a", Demand: 50}, 100, fleet, start.Add(LeaseTime/2)).Share, 0)
+	held := g.Handle(LeaseRequest{From: "b", Demand: 50, HeldSequence: 7, Held: 30, HeldFor: LeaseTime / 4}, 100, fleet, start.Add(LeaseTime/2))
 	is.Equal(held.Share, 30)
-	is.True(g.Handle(Ask{From: "a", Demand: 20}, 100, fleet, start.Add(2*LeaseTime)).Share > 0)
+	is.True(g.Handle(LeaseRequest{From: "a", Demand: 20}, 100, fleet, start.Add(2*LeaseTime)).Share > 0)
 }
 
 func TestShareOfUnresponsiveHolderReturnsAfterItsLease(t *testing.T) {
 	is := is.New(t)
-	fleet := Fleet{Listed: 2, Reachable: 2, Stable: start.Add(-time.Hour)}
+	fleet := Fleet{Listed: 2, Reachable: 2, GrantorSince: start.Add(-time.Hour)}
 	g := NewGrantor(start)
-	first := g.Handle(Ask{From: "a", Demand: 100}, 100, fleet, start)
+	first := g.Handle(LeaseRequest{From: "a", Demand: 100}, 100, fleet, start)
 	is.Equal(first.Share, pool(100, 2, 2))
-	is.Equal(g.Handle(Ask{From: "b", Demand: 100}, 100, fleet, start.Add(LeaseTime/2)).Share, 0)
-	late := g.Handle(Ask{From: "b", Demand: 100}, 100, fleet, start.Add(LeaseTime+time.Millisecond))
+	is.Equal(g.Handle(LeaseRequest{From: "b", Demand: 100}, 100, fleet, start.Add(LeaseTime/2)).Share, 0)
+	late := g.Handle(LeaseRequest{From: "b", Demand: 100}, 100, fleet, start.Add(LeaseTime+time.Millisecond))
 	is.Equal(late.Share, pool(100, 2, 2))
 }
 
 func TestScarceSharesAreFair(t *testing.T) {
 	is := is.New(t)
-	fleet := Fleet{Listed: 3, Reachable: 3, Stable: start.Add(-time.Hour)}
+	fleet := Fleet{Listed: 3, Reachable: 3, GrantorSince: start.Add(-time.Hour)}
 	g := NewGrantor(start)
 	holders := map[vm.ID]*Holder{"a": {}, "b": {}, "c": {}}
 	demand := map[vm.ID]int{"a": 500, "b": 500, "c": 10}
@@ -114,7 +114,7 @@
 	for range 12 { // the holders renew until the shares converge
 		for id, h := range holders {
 			h.peak = demand[id]
-			h.Granted(g.Handle(h.Ask(id, now), 120, fleet, now), now)
+			h.Granted(g.Handle(h.LeaseRequest(id, now), 120, fleet, now), now)
 		}
 		now = now.Add(renewAfter)
 	}
@@ -135,11 +135,11 @@
 
 func (n *network) Listed() int { return len(n.limiters) }
 func (n *network) Fleet(string) Fleet {
-	return Fleet{Listed: len(n.limiters), Reachable: len(n.limiters), Stable: start}
+	return Fleet{Listed: len(n.limiters), Reachable: len(n.limiters), GrantorSince: start}
 }
 func (n *network) Grantors(string) [2]vm.ID          { return n.grantors }
 func (n *network) Team(string) (resource.Team, bool) { return n.team, true }
-func (n *network) Ask(_ context.Context, to vm.ID, requests []TeamAsk) ([]TeamGrant, error) {
+func (n *network) RequestLeases(_ context.Context, to vm.ID, requests []TeamLeaseRequest) ([]TeamGrant, error) {
 	if n.cut || to == n.dead {
 		return nil, context.DeadlineExceeded
 	}
@@ -203,19 +203,19 @@
 // that holders have, so that they do not expire before a new grantor may grant.
 func TestSecondGrantorRenewsHeldLeases(t *testing.T) {
 	is := is.New(t)
-	second := Fleet{Listed: 4, Reachable: 4, Stable: start.Add(time.Hour)} // not the grantor in the second one's view
-	first := Fleet{Listed: 4, Reachable: 4, Stable: start.Add(-time.Hour)}
+	second := Fleet{Listed: 4, Reachable: 4, GrantorSince: start.Add(time.Hour)} // not the grantor in the second one's view
+	first := Fleet{Listed: 4, Reachable: 4, GrantorSince: start.Add(-time.Hour)}
 	a, b := NewGrantor(start), NewGrantor(start)
 	var h Holder
 	now := start
 	h.peak = 30
-	h.Granted(a.Handle(h.Ask("c", now), 100, first, now), now)
+	h.Granted(a.Handle(h.LeaseRequest("c", now), 100, first, now), now)
 	held := h.leased(now)
 	is.True(held > 0)
 	for range 6 {
 		now = now.Add(renewAfter)
 		h.peak = 90
-		h.Granted(b.Handle(h.Ask("c", now), 100, second, now), now)
+		h.Granted(b.Handle(h.LeaseRequest("c", now), 100, second, now), now)
 		is.Equal(h.leased(now), held)
 	}
 }
--- a/entry/membership/fleet.go
+++ b/entry/membership/fleet.go
@@ -26,11 +26,11 @@
 	Usable []vm.VM // entry VMs that may get new work, sorted by ID; includes this one
 	// Generation changes whenever Usable does.
 	Generation uint64
-	// Awake is the time since which this process has been running without a pause.
-	Awake time.Time
-	// Recent holds the earlier sets of usable entry VMs that were replaced less than
+	// AwakeSince is the time since which this process has been running without a pause.
+	AwakeSince time.Time
+	// RecentSets holds the earlier sets of usable entry VMs that were replaced less than
 	// RecentWindow ago, each with the time of its replacement.
-	Recent []EndedSet
+	RecentSets []EndedSet
 
 	refreshedAt time.Time
 }
@@ -83,7 +83,7 @@
 
 // refresh replaces the snapshot with the current view.
 func (f *Fleet) refresh(now time.Time) {
-	next := &Snapshot{refreshedAt: now, Awake: now}
+	next := &Snapshot{refreshedAt: now, AwakeSince: now}
 	for _, v := range f.vms.List().WithRole(vm.RoleEntry) {
 		next.Listed++
 		if v.ID == f.self || f.prober.Usable(v) {
@@ -100,16 +100,16 @@
 	next.Generation = old.Generation
 	same := slices.EqualFunc(old.Usable, next.Usable, func(a, b vm.VM) bool { return a.ID == b.ID && a.HTTP == b.HTTP && a.Zone == b.Zone })
 	if now.Sub(old.refreshedAt) < pauseGap {
-		next.Awake = old.Awake
+		next.AwakeSince = old.AwakeSince
 	}
-	for _, set := range old.Recent {
+	for _, set := range old.RecentSets {
 		if now.Sub(set.Ended) < RecentWindow {
-			next.Recent = append(next.Recent, set)
+			next.RecentSets = append(next.RecentSets, set)
 		}
 	}
 	if !same {
 		next.Generation++
-		next.Recent = append(next.Recent, EndedSet{Usable: old.Usable, Ended: now})
+		next.RecentSets = append(next.RecentSets, EndedSet{Usable: old.Usable, Ended: now})
 	}
 	f.snapshot.Store(next)
 }
--- a/entry/membership/prober.go
+++ b/entry/membership/prober.go
@@ -83,10 +83,10 @@
 	}
 }
 
-// Rumor sends the state of this process to a few random peers immediately.
-func (p *Prober) Rumor() {
+// Gossip sends the state of this process to a few random peers immediately.
+func (p *Prober) Gossip() {
 	p.mu.Lock()
-	out := p.table.Rumor(p.self(), p.rnd)
+	out := p.table.Gossip(p.self(), p.rnd)
 	p.mu.Unlock()
 	p.send(out)
 }
--- a/entry/membership/table.go
+++ b/entry/membership/table.go
@@ -127,9 +127,9 @@
 	return out, changes
 }
 
-// Rumor returns probes to random peers, which are sent immediately after a change. Missing
+// Gossip returns probes to random peers, which are sent immediately after a change. Missing
 // answers to them do not count.
-func (t *Table) Rumor(self Self, rnd *rand.Rand) []Datagram {
+func (t *Table) Gossip(self Self, rnd *rand.Rand) []Datagram {
 	var out []Datagram
 	for _, p := range t.choose(rnd) {
 		out = append(out, Datagram{Address: p.vm.Probe, Probe: t.probe(self, false, 0)})
--- a/entry/quarantine/attempt.go
+++ b/entry/quarantine/attempt.go
@@ -43,11 +43,11 @@
 	r := t.records[f]
 	j := t.judge(r, now)
 	switch {
-	case j.Standing == Quarantined:
+	case j.Status == Quarantined:
 		return Attempt{}, Refused
-	case j.Standing == Unsuspected:
+	case j.Status == Unsuspected:
 		return Attempt{Round: 1}, Granted
-	case j.Standing == OnTrial && !t.mayTry(f, r, interval, now):
+	case j.Status == OnTrial && !t.mayTry(f, r, interval, now):
 		return Attempt{}, Wait
 	}
 	r.admitted++
@@ -129,13 +129,13 @@
 	fresh := peerReportTTL(t.interval()) // acquires the lock under which the heartbeat's report is built
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	suspected := t.judge(t.records[f], now).Standing != Unsuspected
+	suspected := t.judge(t.records[f], now).Status != Unsuspected
 	var out map[ServerKey]bool
 	for other, r := range t.records {
 		if other == f || len(r.running) == 0 && len(r.peerReports) == 0 {
 			continue
 		}
-		if !suspected && t.judge(r, now).Standing < OnTrial {
+		if !suspected && t.judge(r, now).Status < OnTrial {
 			continue
 		}
 		out = r.addServers(out, fresh, now)
--- a/entry/quarantine/bench_test.go
+++ b/entry/quarantine/bench_test.go
@@ -44,7 +44,7 @@
 		later := start.Add(time.Hour)
 		b.Run(fmt.Sprintf("%d suspects", suspects), func(b *testing.B) {
 			for b.Loop() {
-				_ = table.Told(later)
+				_ = table.Report(later)
 			}
 		})
 	}
--- a/entry/quarantine/fuzz_test.go
+++ b/entry/quarantine/fuzz_test.go
@@ -34,7 +34,7 @@
 			return
 		}
 		table := newTable("a")
-		table.Hear("b", report.GetSuspects(), start)
+		table.Receive("b", report.GetSuspects(), start)
 		for _, w := range report.GetSuspects() {
 			if len(w.GetFingerprint()) == len(Fingerprint{}) {
 				attempt, _ := table.Admit(Fingerprint(w.GetFingerprint()), start)
@@ -42,8 +42,8 @@
 				attempt.Release()
 			}
 		}
-		table.Hear("c", table.All(start.Add(time.Second)), start.Add(time.Second))
-		_ = table.Told(start)
+		table.Receive("c", table.FullReport(start.Add(time.Second)), start.Add(time.Second))
+		_ = table.Report(start)
 		if _, permission := table.Admit(fingerprint(-7), start); permission != Granted {
 			t.Fatal("a request about which nothing is known was refused")
 		}
--- a/entry/quarantine/record.go
+++ b/entry/quarantine/record.go
@@ -35,19 +35,19 @@
 	At     time.Time
 }
 
-// Standing is the status of a request, which determines how it is handled.
-type Standing int
+// Status is the status of a request, which determines how it is handled.
+type Status int
 
 // The statuses of a request.
 const (
-	Unsuspected Standing = iota
-	Suspected            // servers ended while running it; it is tried, apart from other suspects
-	OnTrial              // it is tried one at a time
-	Quarantined          // it is refused
+	Unsuspected Status = iota
+	Suspected          // servers ended while running it; it is tried, apart from other suspects
+	OnTrial            // it is tried one at a time
+	Quarantined        // it is refused
 )
 
 // String returns the name of the status.
-func (s Standing) String() string {
+func (s Status) String() string {
 	return [...]string{"unsuspected", "suspected", "on-trial", "quarantined"}[s]
 }
 
--- a/entry/quarantine/spread.go
+++ b/entry/quarantine/spread.go
@@ -22,9 +22,9 @@
 	minRotated = 4
 )
 
-// Told returns the suspects to report in a heartbeat: those that changed recently, and
+// Report returns the suspects to report in a heartbeat: those that changed recently, and
 // others in rotation.
-func (t *Table) Told(now time.Time) []*wire.Suspect {
+func (t *Table) Report(now time.Time) []*wire.Suspect {
 	if t.Empty() {
 		return nil
 	}
@@ -61,15 +61,15 @@
 		switch {
 		case now.Sub(r.changed) < recentTime || len(r.running) > 0:
 			fresh = append(fresh, f)
-		case t.judge(r, now).Standing != Unsuspected:
+		case t.judge(r, now).Status != Unsuspected:
 			old = append(old, f)
 		}
 	}
 	return fresh, old
 }
 
-// All returns the complete state.
-func (t *Table) All(now time.Time) []*wire.Suspect {
+// FullReport returns the complete state.
+func (t *Table) FullReport(now time.Time) []*wire.Suspect {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]*wire.Suspect, 0, len(t.records))
@@ -98,8 +98,8 @@
 
 func ageMs(at, now time.Time) uint32 { return uint32(max(0, now.Sub(at).Milliseconds())) }
 
-// Hear merges a report of another process.
-func (t *Table) Hear(from vm.ID, suspects []*wire.Suspect, now time.Time) {
+// Receive merges a report of another process.
+func (t *Table) Receive(from vm.ID, suspects []*wire.Suspect, now time.Time) {
 	if len(suspects) == 0 {
 		return
 	}
--- a/entry/quarantine/table.go
+++ b/entry/quarantine/table.go
@@ -76,10 +76,10 @@
 
 // Judgement is the assessment of a request at one moment.
 type Judgement struct {
-	Standing Standing
-	Ends     int           // number of rounds of ends that count against the request
-	Left     time.Duration // remaining time of the quarantine
-	Since    time.Duration // time since the latest end
+	Status    Status
+	Ends      int           // number of rounds of ends that count against the request
+	Remaining time.Duration // remaining time of the quarantine
+	Since     time.Duration // time since the latest end
 }
 
 // Judge returns the assessment of a request.
@@ -101,14 +101,14 @@
 	if j.Ends == 0 || j.Since >= recordTTL(j.Ends) {
 		return Judgement{}
 	}
-	j.Left = max(0, quarantine(j.Ends)-j.Since)
+	j.Remaining = max(0, quarantine(j.Ends)-j.Since)
 	switch {
-	case j.Left > 0:
-		j.Standing = Quarantined
+	case j.Remaining > 0:
+		j.Status = Quarantined
 	case j.Ends >= onTrialFrom:
-		j.Standing = OnTrial
+		j.Status = OnTrial
 	default:
-		j.Standing = Suspected
+		j.Status = Suspected
 	}
 	return j
 }
@@ -139,12 +139,12 @@
 	r.changed = e.At
 	after := t.judge(r, e.At)
 	event := t.log.Info()
-	if after.Standing == Quarantined && before.Standing != Quarantined {
+	if after.Status == Quarantined && before.Status != Quarantined {
 		event = t.log.Warn()
 	}
 	event.Stringer("fingerprint", f).Uint64("server_incarnation", uint64(e.Server)).Int("round", e.Round).Str("source", source).
-		Int("ends", after.Ends).Stringer("before", before.Standing).Stringer("standing", after.Standing).
-		Dur("quarantine", after.Left).Msg("backend server ended under a request")
+		Int("ends", after.Ends).Stringer("before", before.Status).Stringer("standing", after.Status).
+		Dur("quarantine", after.Remaining).Msg("backend server ended under a request")
 }
 
 // Succeeded records that a run ended well.
@@ -228,7 +228,7 @@
 	defer t.mu.Unlock()
 	for f, r := range t.records {
 		idle := len(r.running) == 0 && r.admitted == 0
-		status := t.judge(r, now).Standing
+		status := t.judge(r, now).Status
 		expired := now.Sub(r.changed) >= suspectTTL
 		if idle && status == Unsuspected && expired {
 			delete(t.records, f)
--- a/entry/quarantine/table_test.go
+++ b/entry/quarantine/table_test.go
@@ -47,12 +47,12 @@
 	is := is.New(t)
 	table, f := newTable("a"), fingerprint(1)
 	is.True(table.Empty())
-	is.Equal(table.Judge(f, start).Standing, Unsuspected)
-	is.Equal(end(table, f, 1, start).Standing, Suspected)
-	is.Equal(end(table, f, 1, start.Add(time.Second)).Standing, Suspected) // the same server
-	is.Equal(end(table, f, 2, start.Add(2*time.Second)).Standing, OnTrial)
-	is.Equal(end(table, f, 3, start.Add(4*time.Second)).Standing, Quarantined)
-	is.Equal(table.Judge(fingerprint(2), start).Standing, Unsuspected)
+	is.Equal(table.Judge(f, start).Status, Unsuspected)
+	is.Equal(end(table, f, 1, start).Status, Suspected)
+	is.Equal(end(table, f, 1, start.Add(time.Second)).Status, Suspected) // the same server
+	is.Equal(end(table, f, 2, start.Add(2*time.Second)).Status, OnTrial)
+	is.Equal(end(table, f, 3, start.Add(4*time.Second)).Status, Quarantined)
+	is.Equal(table.Judge(fingerprint(2), start).Status, Unsuspected)
 	_, permission := table.Admit(f, start.Add(5*time.Second))
 	is.Equal(permission, Refused)
 }
@@ -63,11 +63,11 @@
 	is := is.New(t)
 	f := fingerprint(1)
 	table, last := quarantined(f)
-	is.Equal(table.Judge(f, last).Left, firstQuarantine)
+	is.Equal(table.Judge(f, last).Remaining, firstQuarantine)
 	over := last.Add(firstQuarantine)
-	is.Equal(table.Judge(f, over).Standing, OnTrial)
-	is.Equal(end(table, f, 9, over).Left, 2*firstQuarantine)
-	is.Equal(table.Judge(f, over.Add(recordTTL(4))).Standing, Unsuspected)
+	is.Equal(table.Judge(f, over).Status, OnTrial)
+	is.Equal(end(table, f, 9, over).Remaining, 2*firstQuarantine)
+	is.Equal(table.Judge(f, over.Add(recordTTL(4))).Status, Unsuspected)
 	table.Expire(over.Add(recordTTL(4)))
 	is.True(table.Empty())
 }
@@ -105,7 +105,7 @@
 		}
 		now = now.Add(5 * time.Second)
 		for server := range 6 {
-			is.Equal(table.Judge(fingerprint(server), now).Standing, Unsuspected)
+			is.Equal(table.Judge(fingerprint(server), now).Status, Unsuspected)
 		}
 	}
 }
@@ -120,8 +120,8 @@
 		end(table, fingerprint(2), ServerKey(10*round+2), now.Add(time.Millisecond))
 		now = now.Add(3 * time.Second)
 	}
-	is.Equal(table.Judge(fingerprint(1), now).Standing, Quarantined)
-	is.Equal(table.Judge(fingerprint(2), now).Standing, Quarantined)
+	is.Equal(table.Judge(fingerprint(1), now).Status, Quarantined)
+	is.Equal(table.Judge(fingerprint(2), now).Status, Quarantined)
 }
 
 func TestSuccessfulRunClearsEqualRequests(t *testing.T) {
@@ -129,12 +129,12 @@
 	f := fingerprint(1)
 	table, last := quarantined(f)
 	table.Succeeded(fingerprint(2), last)
-	is.Equal(table.Judge(f, last).Standing, Quarantined)
+	is.Equal(table.Judge(f, last).Status, Quarantined)
 	well := last.Add(time.Second)
 	table.Succeeded(f, well)
-	is.Equal(table.Judge(f, well).Standing, Unsuspected)
-	is.Equal(end(table, f, 7, well.Add(time.Second)).Standing, Unsuspected) // disregarded after the successful run
-	is.Equal(end(table, f, 8, well.Add(clearedTTL)).Standing, Suspected)
+	is.Equal(table.Judge(f, well).Status, Unsuspected)
+	is.Equal(end(table, f, 7, well.Add(time.Second)).Status, Unsuspected) // disregarded after the successful run
+	is.Equal(end(table, f, 8, well.Add(clearedTTL)).Status, Suspected)
 	is.Equal(table.Judge(f, well.Add(clearedTTL)).Ends, 1)
 }
 
@@ -144,20 +144,20 @@
 	table, last := quarantined(f)
 	table.Answered(2, last.Add(-time.Hour), last)                        // sent before the end
 	table.Answered(2, last.Add(time.Millisecond), last.Add(time.Second)) // the server was restarted
-	is.Equal(table.Judge(f, last).Standing, Quarantined)
+	is.Equal(table.Judge(f, last).Status, Quarantined)
 	table.Answered(2, last.Add(-time.Hour), last.Add(time.Second))
-	is.Equal(table.Judge(f, last).Standing, OnTrial)
+	is.Equal(table.Judge(f, last).Status, OnTrial)
 	table.Ended(f, End{Server: 2, Round: 3, At: last}) // as other processes still report
-	is.Equal(table.Judge(f, last).Standing, OnTrial)
+	is.Equal(table.Judge(f, last).Status, OnTrial)
 }
 
 // exchange sends the heartbeat report of each table to all others.
 func exchange(now time.Time, tables ...*Table) {
 	for _, from := range tables {
-		report := from.Told(now)
+		report := from.Report(now)
 		for _, to := range tables {
 			if to != from {
-				to.Hear(from.self, report, now)
+				to.Receive(from.self, report, now)
 			}
 		}
 	}
@@ -237,8 +237,8 @@
 		}
 	}
 	now = now.Add(time.Minute)
-	b.Hear("a", a.All(now), now)
-	c.Hear("b", b.All(now), now)
+	b.Receive("a", a.FullReport(now), now)
+	c.Receive("b", b.FullReport(now), now)
 	now = now.Add(time.Minute)
 	for range 200 {
 		exchange(now, c, d)
@@ -246,7 +246,7 @@
 	}
 	for _, table := range []*Table{b, c, d} {
 		is.Equal(table.Size(), suspects)
-		is.Equal(table.Judge(fingerprint(suspects-1), now).Standing, Quarantined)
+		is.Equal(table.Judge(fingerprint(suspects-1), now).Status, Quarantined)
 	}
 }
 
@@ -264,9 +264,9 @@
 	}
 	is.True(table.Size() <= maxRecords)
 	is.True(len(table.outages.at) <= maxOutages)
-	is.Equal(table.Judge(retained, start).Standing, Quarantined) // the records with the most ends are retained
+	is.Equal(table.Judge(retained, start).Status, Quarantined) // the records with the most ends are retained
 	size := 0
-	for _, w := range table.Told(start.Add(time.Second)) {
+	for _, w := range table.Report(start.Add(time.Second)) {
 		size += proto.Size(w)
 	}
 	t.Logf("%d B in a heartbeat", size)
@@ -280,12 +280,12 @@
 	is := is.New(t)
 	table := newTable("a")
 	f := fingerprint(1)
-	table.Hear("b", []*wire.Suspect{
+	table.Receive("b", []*wire.Suspect{
 		nil,
 		{Fingerprint: []byte("short"), Ends: []*wire.ServerEnd{{Server: 1, Round: 1}}},
 		{Fingerprint: f[:], Ends: []*wire.ServerEnd{nil, {AgeMs: 1 << 31}}},
 	}, start)
-	is.Equal(table.Judge(f, start).Standing, Unsuspected)
+	is.Equal(table.Judge(f, start).Status, Unsuspected)
 	is.Equal(table.Size(), 0)
 }
 
@@ -319,7 +319,7 @@
 			default:
 				other := tables[rapid.IntRange(0, 2).Draw(t, "other")]
 				if other != table {
-					other.Hear(table.self, table.Told(now), now)
+					other.Receive(table.self, table.Report(now), now)
 				}
 			}
 		}
@@ -327,7 +327,7 @@
 			for _, from := range tables {
 				for _, to := range tables {
 					if to != from {
-						to.Hear(from.self, from.All(now), now)
+						to.Receive(from.self, from.FullReport(now), now)
 					}
 				}
 			}
@@ -336,7 +336,7 @@
 		for i := range 3 {
 			first := tables[0].Judge(fingerprint(i), later)
 			for _, table := range tables[1:] {
-				if j := table.Judge(fingerprint(i), later); j.Standing != first.Standing || j.Ends != first.Ends {
+				if j := table.Judge(fingerprint(i), later); j.Status != first.Status || j.Ends != first.Ends {
 					t.Fatalf("request %d: %+v at a, %+v at %s", i, first, j, table.self)
 				}
 			}
--- a/entry/retry/retry.go
+++ b/entry/retry/retry.go
@@ -37,8 +37,8 @@
 	EventTombstoned
 	// EventHeld: the agent holds the attempt, and its answer can be requested.
 	EventHeld
-	// EventNoFate: the agent does not know the attempt's outcome, or was not reached in time.
-	EventNoFate
+	// EventOutcomeUnknown: the agent does not know the attempt's outcome, or was not reached in time.
+	EventOutcomeUnknown
 )
 
 // Action is the next step.
@@ -101,8 +101,8 @@
 	return uint32(s.attempts)
 }
 
-// Void undoes the latest Begin, whose attempt was not made.
-func (s *Sequence) Void() { s.attempts-- }
+// UndoBegin undoes the latest Begin, whose attempt was not made.
+func (s *Sequence) UndoBegin() { s.attempts-- }
 
 // Next decides what to do after the event. The refusal is the one that the agent sent, or
 // the zero value if it sent none.
@@ -166,9 +166,9 @@
 	return Decision{Action: ActionRetry}
 }
 
-// Leave reports whether an attempt that is still running may be abandoned for another one.
+// Abandon reports whether an attempt that is still running may be abandoned for another one.
 // If so, it charges the retry and counts the abandoned attempt as one that may have run.
-func (s *Sequence) Leave(now time.Time) bool {
+func (s *Sequence) Abandon(now time.Time) bool {
 	if !s.Idempotent || !s.mayRetry(now) || s.MaxRuns > 0 && s.runs+1 >= s.MaxRuns || !s.Budget.Take() {
 		return false
 	}
--- a/entry/retry/retry_test.go
+++ b/entry/retry/retry_test.go
@@ -39,7 +39,7 @@
 		{"not idempotent, link lost", false, false, EventLost, contract.Refusal{}, ActionQuery, ""},
 		{"not idempotent, tombstoned", false, false, EventTombstoned, contract.Refusal{}, ActionRetry, ""},
 		{"not idempotent, held", false, false, EventHeld, contract.Refusal{}, ActionResume, ""},
-		{"not idempotent, outcome not known", false, false, EventNoFate, contract.Refusal{}, ActionRefuse, contract.Unknown},
+		{"not idempotent, outcome not known", false, false, EventOutcomeUnknown, contract.Refusal{}, ActionRefuse, contract.Unknown},
 		{"ticket, not sent: an earlier presentation may have run", false, true, EventNotSent, contract.Refusal{}, ActionRefuse, contract.Unknown},
 		{"ticket, its agent proved that it did not run", false, true, EventRefused, notRun, ActionRefuse, contract.NotRun},
 		{"ticket, tombstoned", false, true, EventTombstoned, contract.Refusal{}, ActionRetry, ""},
@@ -65,7 +65,7 @@
 		s := sequence(rapid.Bool().Draw(t, "idempotent"), false)
 		mayHaveRun := false
 		for range 20 {
-			ev := Event(rapid.IntRange(int(EventRefused), int(EventNoFate)).Draw(t, "event"))
+			ev := Event(rapid.IntRange(int(EventRefused), int(EventOutcomeUnknown)).Draw(t, "event"))
 			outcome := rapid.SampledFrom([]contract.Outcome{contract.NotRun, contract.Unknown}).Draw(t, "outcome")
 			proved := ev == EventNotSent || ev == EventTombstoned || ev == EventRefused && outcome == contract.NotRun
 			open := ev == EventLost && !s.Idempotent || ev == EventCut || ev == EventHeld
@@ -136,16 +136,16 @@
 	now := time.Unix(0, 0)
 	s := Sequence{Idempotent: true, Deadline: now.Add(time.Second), Budget: NewBudget(), MaxRuns: 2}
 	s.Begin()
-	is.True(s.Leave(now))
+	is.True(s.Abandon(now))
 	s.Begin()
-	is.True(!s.Leave(now)) // the second run is the last that MaxRuns allows
+	is.True(!s.Abandon(now)) // the second run is the last that MaxRuns allows
 	is.Equal(s.Next(EventRefused, contract.Refusal{Outcome: contract.Unknown}, now).Action, ActionRefuse)
 
 	once := Sequence{Deadline: now.Add(time.Second), Budget: NewBudget()}
-	is.True(!once.Leave(now))
+	is.True(!once.Abandon(now))
 	late := Sequence{Idempotent: true, Deadline: now, Budget: NewBudget()}
-	is.True(!late.Leave(now))
+	is.True(!late.Abandon(now))
 	poor := Sequence{Idempotent: true, Deadline: now.Add(time.Second), Budget: &Budget{}}
-	is.True(!poor.Leave(now))
+	is.True(!poor.Abandon(now))
 	is.Equal(poor.runs, 0)
 }
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -147,7 +147,7 @@
 func (e *Server) Stop(ctx context.Context) error {
 	e.draining.Store(true)
 	e.recorder.Record(timeline.Event{Kind: timeline.KindDrain})
-	e.prober.Rumor()
+	e.prober.Gossip()
 	ctx, cancel := context.WithTimeout(ctx, e.settings.Drain.Timeout)
 	defer cancel()
 	timer := time.NewTimer(*e.settings.Drain.Linger)
@@ -174,7 +174,7 @@
 // ready reports whether the process may serve callers: it is up to date, and has run
 // without a pause for a lease time, so that it can grant shares of team limits.
 func (e *Server) ready() bool {
-	awake := e.fleet.Snapshot().Awake
+	awake := e.fleet.Snapshot().AwakeSince
 	return e.spreader.Ready() && clock.Since(awake) >= limits.LeaseTime
 }
 
@@ -183,12 +183,12 @@
 	return membership.Self{
 		VM: e.local.VM, Incarnation: e.local.Incarnation, ConfigRevision: e.config.Revision(),
 		ConfigDigest: d.Core ^ d.Teams, VMsRevision: e.vms.List().Revision, Draining: e.draining.Load(),
-		Suspects: e.suspects.Told(clock.Now()),
+		Suspects: e.suspects.Report(clock.Now()),
 	}
 }
 
 func (e *Server) onProbe(from vm.ID, p *wire.Probe) {
-	e.suspects.Hear(from, p.GetSuspects(), clock.Now())
+	e.suspects.Receive(from, p.GetSuspects(), clock.Now())
 	e.spreader.OnProbe(e.ctx, from, p)
 }
 
@@ -205,7 +205,7 @@
 		e.prober.Learn(&wire.News{Vm: string(id), Incarnation: r.GetIncarnation(), ConfigRevision: r.GetConfigRevision()})
 	}
 	behind := r.GetConfigRevision() < e.config.Revision() || r.GetVmsRevision() < e.vms.List().Revision
-	if l, ok := e.directory.Pool().Open(id); ok && behind {
+	if l, ok := e.directory.Pool().Lookup(id); ok && behind {
 		e.spreader.Announce(l)
 	}
 }
@@ -218,13 +218,13 @@
 func (e *Server) ServeStream(_ context.Context, from *link.Link, s *link.Stream, call *wire.Call) {
 	switch body := call.GetBody().(type) {
 	case *wire.Call_Pull:
-		reply := configuration.AnswerPull(body.Pull, e.config, e.vms)
+		reply := configuration.ReplyToPull(body.Pull, e.config, e.vms)
 		_ = s.SendReply(&wire.Reply{Body: &wire.Reply_Pull{Pull: reply}})
 	case *wire.Call_Shares:
 		reply := grantsToWire(e.limiter.Grant(shareRequestsFromWire(from.Remote, body.Shares)))
 		_ = s.SendReply(&wire.Reply{Body: &wire.Reply_Shares{Shares: reply}})
 	case *wire.Call_Suspects:
-		known := &wire.Suspects{Suspects: e.suspects.All(clock.Now())}
+		known := &wire.Suspects{Suspects: e.suspects.FullReport(clock.Now())}
 		_ = s.SendReply(&wire.Reply{Body: &wire.Reply_Suspects{Suspects: known}})
 	case *wire.Call_Timeline:
 		events := e.recorder.Select(timeline.FilterFromWire(body.Timeline))
--- a/entry/server/shares.go
+++ b/entry/server/shares.go
@@ -26,14 +26,14 @@
 // Fleet implements limits.Network.
 func (n *shareNetwork) Fleet(team string) limits.Fleet {
 	s := n.server.fleet.Snapshot()
-	out := limits.Fleet{Listed: s.Listed, Reachable: len(s.Usable), Stable: s.Awake}
+	out := limits.Fleet{Listed: s.Listed, Reachable: len(s.Usable), GrantorSince: s.AwakeSince}
 	if n.grantorsAmong(s.Usable, team)[0] != n.server.local.VM {
-		out.Stable = clock.Now() // another VM is the grantor
+		out.GrantorSince = clock.Now() // another VM is the grantor
 		return out
 	}
-	for _, set := range s.Recent {
-		if set.Ended.After(out.Stable) && n.grantorsAmong(set.Usable, team)[0] != n.server.local.VM {
-			out.Stable = set.Ended
+	for _, set := range s.RecentSets {
+		if set.Ended.After(out.GrantorSince) && n.grantorsAmong(set.Usable, team)[0] != n.server.local.VM {
+			out.GrantorSince = set.Ended
 		}
 	}
 	return out
@@ -72,8 +72,8 @@
 	return *t, true
 }
 
-// Ask implements limits.Network.
-func (n *shareNetwork) Ask(ctx context.Context, grantor vm.ID, requests []limits.TeamAsk) ([]limits.TeamGrant, error) {
+// RequestLeases implements limits.Network.
+func (n *shareNetwork) RequestLeases(ctx context.Context, grantor vm.ID, requests []limits.TeamLeaseRequest) ([]limits.TeamGrant, error) {
 	if grantor == n.server.local.VM {
 		return n.server.limiter.Grant(requests), nil
 	}
@@ -92,7 +92,7 @@
 	return grantsFromWire(reply.GetShares()), nil
 }
 
-func shareRequestsToWire(requests []limits.TeamAsk) *wire.ShareRequests {
+func shareRequestsToWire(requests []limits.TeamLeaseRequest) *wire.ShareRequests {
 	out := &wire.ShareRequests{}
 	for _, r := range requests {
 		out.Requests = append(out.Requests, &wire.ShareRequest{
@@ -106,10 +106,10 @@
 // roundUp returns d in milliseconds, rounded up.
 func roundUp(d time.Duration) int64 { return int64((d + time.Millisecond - 1) / time.Millisecond) }
 
-func shareRequestsFromWire(from vm.ID, w *wire.ShareRequests) []limits.TeamAsk {
-	out := make([]limits.TeamAsk, 0, len(w.GetRequests()))
+func shareRequestsFromWire(from vm.ID, w *wire.ShareRequests) []limits.TeamLeaseRequest {
+	out := make([]limits.TeamLeaseRequest, 0, len(w.GetRequests()))
 	for _, r := range w.GetRequests() {
-		out = append(out, limits.TeamAsk{Team: r.GetTeam(), Ask: limits.Ask{
+		out = append(out, limits.TeamLeaseRequest{Team: r.GetTeam(), LeaseRequest: limits.LeaseRequest{
 			From: from, Demand: int(r.GetDemand()), HeldSequence: r.GetHeldSequence(),
 			Held: int(r.GetHeldShare()), HeldFor: time.Duration(r.GetHeldMs()) * time.Millisecond,
 		}})
--- a/entry/server/suspects.go
+++ b/entry/server/suspects.go
@@ -53,7 +53,7 @@
 		e.log.Info().Err(err).Str("vm", string(v.ID)).Msg("pull of suspects failed")
 		return
 	}
-	e.suspects.Hear(v.ID, reply.GetSuspects().GetSuspects(), clock.Now())
+	e.suspects.Receive(v.ID, reply.GetSuspects().GetSuspects(), clock.Now())
 }
 
 func (e *Server) expireSuspects(ctx context.Context) {
--- a/entry/spread/spread.go
+++ b/entry/spread/spread.go
@@ -252,7 +252,7 @@
 func (s *Spreader) trimPeers(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait(ctx, peerIdle/4)
-		s.Peers.Trim(clock.Now().Add(-peerIdle))
+		s.Peers.CloseIdle(clock.Now().Add(-peerIdle))
 	}
 }
 
@@ -260,7 +260,7 @@
 func (s *Spreader) announceChanges(ctx context.Context) {
 	for {
 		config, vms := s.Config.Changed(), s.VMs.Changed()
-		s.Prober.Rumor()
+		s.Prober.Gossip()
 		for _, l := range s.Agents.Links() {
 			s.workers.Go(func() { s.Announce(l) })
 		}
--- a/entry/upstream/conn.go
+++ b/entry/upstream/conn.go
@@ -18,9 +18,9 @@
 var (
 	// ErrNotSent means that no byte of the request was sent: it did not run.
 	ErrNotSent = eris.New("upstream: request not sent")
-	// ErrEnded is joined with ErrNotSent if the host refuses the connection: no
+	// ErrConnectionRefused is joined with ErrNotSent if the host refuses the connection: no
 	// process listens at the address.
-	ErrEnded = eris.New("upstream: connection refused: no process listens")
+	ErrConnectionRefused = eris.New("upstream: connection refused: no process listens")
 	// ErrLost means that the request was, or may have been, sent and no complete
 	// answer was received: it may have run.
 	ErrLost = eris.New("upstream: lost after it was sent")
@@ -122,7 +122,7 @@
 func (p *Pool) dial(ctx context.Context) (*conn, error) {
 	raw, err := p.dialer.DialContext(ctx, "tcp", p.address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, errors.Join(ErrEnded, eris.Wrapf(ErrNotSent, "dial %s: %v", p.address, err))
+		return nil, errors.Join(ErrConnectionRefused, eris.Wrapf(ErrNotSent, "dial %s: %v", p.address, err))
 	}
 	if err != nil {
 		return nil, eris.Wrapf(ErrNotSent, "dial %s: %v", p.address, err)
--- a/standin/cmd/experiment/limits.go
+++ b/standin/cmd/experiment/limits.go
@@ -205,7 +205,7 @@
 }
 
 func (r *limitReplay) ask(i int, v *limitVM) {
-	a := v.holder.Ask(vm.ID(fmt.Sprint(i)), r.now)
+	a := v.holder.LeaseRequest(vm.ID(fmt.Sprint(i)), r.now)
 	grantor := r.lead
 	for !v.usable[grantor] {
 		grantor = (grantor + 1) % limitVMs
@@ -220,7 +220,7 @@
 			reachable++
 		}
 	}
-	fleet := limits.Fleet{Listed: limitVMs, Reachable: reachable, Stable: g.stable}
+	fleet := limits.Fleet{Listed: limitVMs, Reachable: reachable, GrantorSince: g.stable}
 	v.holder.Granted(g.grantor.Handle(a, r.limit, fleet, r.now), r.now)
 }
 
--- a/standin/e2e/maps_test.go
+++ b/standin/e2e/maps_test.go
@@ -64,8 +64,8 @@
 	is.Equal(group.Stats().Mixed, 0)
 	planned, committed := false, 0
 	for _, e := range timelineOf(t, f, "group=chat&limit=5000").Events {
-		planned = planned || e.Kind == timeline.KindPlan && e.Choice == "switch" && e.Reason != ""
-		if e.Kind == timeline.KindSwitch && e.Choice == "commit" {
+		planned = planned || e.Kind == timeline.KindMapPlan && e.Choice == "switch" && e.Reason != ""
+		if e.Kind == timeline.KindMapSwitch && e.Choice == "commit" {
 			committed++
 		}
 	}
@@ -85,7 +85,7 @@
 	leader := func() vm.ID {
 		var last vm.ID
 		for _, e := range timelineOf(t, f, "group=chat&limit=5000").Events {
-			if e.Kind == timeline.KindLead {
+			if e.Kind == timeline.KindCoordinator {
 				last = e.VM
 			}
 		}
--- a/standin/outage/model.go
+++ b/standin/outage/model.go
@@ -76,7 +76,7 @@
 
 // gateway is what one gateway knows.
 type gateway struct {
-	stand    admission.Stand
+	stand    admission.Outage
 	pacer    admission.Pacer
 	waiting  []*caller
 	late     int // late requests at servers
@@ -277,7 +277,7 @@
 func (s *play) admit() {
 	for _, g := range s.gateways {
 		if s.known() {
-			g.stand.Stands(s.at(s.now))
+			g.stand.Observe(s.at(s.now))
 		}
 		waiting := g.waiting
 		g.waiting = nil
@@ -295,7 +295,7 @@
 	v := s.view(c)
 	if !s.known() && len(s.running) < s.load.Servers*s.load.Slots && s.policy.Takes(v) {
 		s.dequeue(c)
-		c.takesLate = v.Request.Urgency() != admission.Punctual
+		c.takesLate = v.Request.Urgency() != admission.OnTime
 		if c.takesLate {
 			c.gateway.late++
 		}
@@ -325,8 +325,8 @@
 		g.arrivals = g.arrivals[1:]
 	}
 	stay := time.Duration(s.load.Events) * s.passLength()
-	room := admission.LateRoom(admission.Places{
-		Slots: s.load.Servers * s.load.Slots, Members: s.load.Gateways, PunctualRate: float64(len(g.arrivals)), Stay: stay,
+	room := admission.LateQuota(admission.Places{
+		Slots: s.load.Servers * s.load.Slots, Members: s.load.Gateways, OnTimeRate: float64(len(g.arrivals)), Stay: stay,
 	})
 	limit := min(c.limit, c.heard+s.load.Patience) - c.arrived
 	return View{
@@ -334,7 +334,7 @@
 			Age: s.now - c.arrived, Objective: s.load.Objective, Limit: limit, FirstAnswer: 150 * time.Millisecond,
 			Interrupted: c.interrupted,
 		},
-		Situation: admission.Situation{Back: g.stand.Back(s.at(s.now)), Waiting: g.queued, Room: room, Taken: g.late, Stay: stay},
+		Situation: admission.Situation{RecoversIn: g.stand.RecoversIn(s.at(s.now)), Waiting: g.queued, Quota: room, Taken: g.late, Stay: stay},
 		Left:      c.limit - s.now,
 		Ahead:     g.ahead,
 	}
--- a/standin/outage/policy.go
+++ b/standin/outage/policy.go
@@ -35,12 +35,12 @@
 // Takes implements Policy.
 func (Admission) Takes(v View) bool {
 	switch {
-	case v.Request.Urgency() == admission.Punctual:
+	case v.Request.Urgency() == admission.OnTime:
 		return true
 	case !v.Request.Interrupted && v.Ahead > 0:
 		return false
 	default:
-		return float64(v.Situation.Taken+1) <= v.Situation.Room
+		return float64(v.Situation.Taken+1) <= v.Situation.Quota
 	}
 }
 
@@ -83,13 +83,13 @@
 	if v.Request.Interrupted {
 		return v.Request.Age < 1500*time.Millisecond
 	}
-	return v.Situation.Back == 0 && v.Request.Age < v.Request.Objective/8
+	return v.Situation.RecoversIn == 0 && v.Request.Age < v.Request.Objective/8
 }
 
 // Pause implements Policy.
 func (Fixed) Pause(v View, _ *admission.Pacer, draw float64, _ time.Time) time.Duration {
 	pause := 250 * time.Millisecond
-	if v.Situation.Back > 0 {
+	if v.Situation.RecoversIn > 0 {
 		pause = 2 * time.Second
 	}
 	return min(v.Left/3, pause+time.Duration(0.2*draw*float64(pause)))
