--- a/entry/follow/doc.go
+++ b/entry/follow/doc.go
@@ -9,7 +9,7 @@
 // gateway of each availability zone follows the store (in a small fleet all of them do), and
 // the others take the changes from these. A store that does not respond to some gateways, or a
 // follower that is frozen or cut off, must not delay a change beyond the time within which it
-// has to be in force. Heartbeats therefore report the newest change that each gateway ahead. A
+// has to be in force. Heartbeats therefore report the newest change that each gateway knows. A
 // gateway that is behind requests the state from one that knows the change, and from a second
 // one if the first does not answer soon.
 package follow
--- a/entry/follow/exchange.go
+++ b/entry/follow/exchange.go
@@ -12,16 +12,17 @@
 const (
 	// CheckInterval is how often a gateway checks whether others know newer changes.
 	CheckInterval = 200 * time.Millisecond
-	// NonFollowerCheckInterval is how often a gateway that does not follow the store itself checks this.
+	// NonFollowerCheckInterval is how often a gateway that does not follow the store itself
+	// checks this.
 	NonFollowerCheckInterval = 100 * time.Millisecond
 	// PullTimeout bounds a call to another gateway.
 	PullTimeout = 2 * time.Second
 )
 
 const (
-	// nudgeAfter and pullAfter are the numbers of consecutive checks, at the interval of a
-	// gateway that follows the store, that have to find a newer change at other gateways
-	// before the store is queried again, and before the state of one of them is pulled.
+	// nudgeAfter and pullAfter are the numbers of consecutive checks, CheckInterval apart,
+	// that have to find a newer change at other gateways before the store is queried again,
+	// and before the state of one of them is pulled.
 	nudgeAfter = 1
 	pullAfter  = 2
 	// hedgeAfter is how long a pull may take before another gateway is asked as well, and
--- a/entry/follow/exchange_test.go
+++ b/entry/follow/exchange_test.go
@@ -11,8 +11,8 @@
 	"baywall.example/core/vm"
 )
 
-func peerAt(id string, term, revision uint64, heard time.Time) cluster.Peer {
-	return cluster.Peer{VM: vm.ID(id), Front: "f", StoreChanged: source.Position{Term: term, Revision: revision}, LastHeartbeat: heard}
+func peerAt(id string, term, revision uint64, lastHeartbeat time.Time) cluster.Peer {
+	return cluster.Peer{VM: vm.ID(id), Front: "f", StoreChanged: source.Position{Term: term, Revision: revision}, LastHeartbeat: lastHeartbeat}
 }
 
 // After the store was restored, a gateway that has not noticed it may know the highest
@@ -45,7 +45,8 @@
 	is.True(x.Check(own, live, now.Add(hedgeAfter/2)).Pull == nil)
 	is.Equal(x.Check(own, live, now.Add(hedgeAfter)).Pull.VM, vm.ID("b"))
 	is.Equal(x.Check(own, live, now.Add(2*hedgeAfter)).Pull.VM, vm.ID("c"))
-	is.True(x.Check(own, live, now.Add(3*hedgeAfter)).Pull == nil) // the maximum number of pulls is in progress
+	// The maximum number of pulls is in progress.
+	is.True(x.Check(own, live, now.Add(3*hedgeAfter)).Pull == nil)
 }
 
 // A state in which another gateway is ahead of the store is pulled at intervals of
--- a/entry/follow/spread_test.go
+++ b/entry/follow/spread_test.go
@@ -25,8 +25,8 @@
 
 const watchedKey = "key-0"
 
-// change makes the awaited change, with series after several others, and returns the time
-// of its acknowledgement.
+// change makes the awaited change and returns the time of its acknowledgement. With series,
+// it makes several other changes first.
 func (f *simFleet) change(ctx context.Context, series bool) time.Time {
 	if series {
 		for range 3 {
@@ -48,7 +48,7 @@
 
 // pick returns the given fraction of the gateways, at random. With leaders, those that follow
 // the store on behalf of others come first.
-func (f *simFleet) pick(part float64, leaders bool, rnd *rand.Rand) []*simGateway {
+func (f *simFleet) pick(fraction float64, leaders bool, rnd *rand.Rand) []*simGateway {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	order := rnd.Perm(len(f.gateways))
@@ -60,7 +60,7 @@
 			others = append(others, g)
 		}
 	}
-	return append(out, others...)[:max(1, int(part*float64(len(order))))]
+	return append(out, others...)[:max(1, int(fraction*float64(len(order))))]
 }
 
 // fault is one way in which the platform fails. Its function injects the fault, makes the
