--- a/entry/quarantine/attempt.go
+++ b/entry/quarantine/attempt.go
@@ -126,7 +126,8 @@
 	if t.Empty() {
 		return nil
 	}
-	fresh := peerReportTTL(t.interval()) // acquires the lock under which the heartbeat's report is built
+	// interval acquires the lock under which the heartbeat's report is built.
+	fresh := peerReportTTL(t.interval())
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	suspected := t.judge(t.records[f], now).Status != Unsuspected
--- a/entry/quarantine/table_test.go
+++ b/entry/quarantine/table_test.go
@@ -133,7 +133,8 @@
 	well := last.Add(time.Second)
 	table.Succeeded(f, well)
 	is.Equal(table.Judge(f, well).Status, Unsuspected)
-	is.Equal(end(table, f, 7, well.Add(time.Second)).Status, Unsuspected) // disregarded after the successful run
+	// The end is disregarded, because it follows the successful run within clearedTTL.
+	is.Equal(end(table, f, 7, well.Add(time.Second)).Status, Unsuspected)
 	is.Equal(end(table, f, 8, well.Add(clearedTTL)).Status, Suspected)
 	is.Equal(table.Judge(f, well.Add(clearedTTL)).Ends, 1)
 }
@@ -264,7 +265,8 @@
 	}
 	is.True(table.Size() <= maxRecords)
 	is.True(len(table.outages.at) <= maxOutages)
-	is.Equal(table.Judge(retained, start).Status, Quarantined) // the records with the most ends are retained
+	// The records with the most ends are retained.
+	is.Equal(table.Judge(retained, start).Status, Quarantined)
 	size := 0
 	for _, w := range table.Report(start.Add(time.Second)) {
 		size += proto.Size(w)
