--- a/entry/limits/grantor.go
+++ b/entry/limits/grantor.go
@@ -32,7 +32,7 @@
 // LeaseRequest is a request for a lease on a share of one team's limit.
 type LeaseRequest struct {
 	From   vm.ID
-	Demand int // number of requests running and refused
+	Demand int // peak of running requests plus refused ones, since the last lease request
 	// HeldSequence, Held and HeldFor are the sequence number, the share and the remaining
 	// time of the lease that the holder has.
 	HeldSequence uint64
--- a/entry/limits/holder.go
+++ b/entry/limits/holder.go
@@ -9,8 +9,8 @@
 const (
 	// renewAfter is the age at which a lease in use is renewed.
 	renewAfter = LeaseTime / 3
-	// minRequestInterval is the least time between two lease requests caused by refused
-	// requests.
+	// minRequestInterval is the least time between a lease request and the next one that a
+	// refused request causes.
 	minRequestInterval = 20 * time.Millisecond
 	// demandWindow is how long a lease is renewed after the last request, admitted or
 	// refused, if none is running.
@@ -85,7 +85,8 @@
 // that arrives after the answer to a newer lease request is ignored.
 func (h *Holder) Granted(g Grant, sent time.Time) {
 	until := sent.Add(g.Duration)
-	overtaken := until.Equal(h.until) && g.Sequence < h.sequence // both were requested at the same instant
+	// Two leases that end at the same time were requested at the same instant.
+	overtaken := until.Equal(h.until) && g.Sequence < h.sequence
 	if until.Before(h.until) || overtaken {
 		return
 	}
--- a/entry/limits/limits.go
+++ b/entry/limits/limits.go
@@ -145,7 +145,7 @@
 
 // withinRate reports whether this entry VM's part of the team's rate limit allows a request.
 // That part is the fraction of the team's concurrency that this VM may use, and at least
-// basePart of an even part.
+// basePart times an equal part.
 func (t *teamState) withinRate(team resource.Team, listed int, now time.Time) bool {
 	if team.RequestsPerSecond == 0 {
 		t.rate = nil
--- a/entry/limits/limits_test.go
+++ b/entry/limits/limits_test.go
@@ -203,7 +203,8 @@
 // that holders have, so that they do not expire before a new grantor may grant.
 func TestSecondGrantorRenewsHeldLeases(t *testing.T) {
 	is := is.New(t)
-	second := Fleet{Listed: 4, Reachable: 4, GrantorSince: start.Add(time.Hour)} // not the grantor in the second one's view
+	// In its own view, the second grantor has not taken over yet.
+	second := Fleet{Listed: 4, Reachable: 4, GrantorSince: start.Add(time.Hour)}
 	first := Fleet{Listed: 4, Reachable: 4, GrantorSince: start.Add(-time.Hour)}
 	a, b := NewGrantor(start), NewGrantor(start)
 	var h Holder
