--- a/entry/dispatch/exchange.go
+++ b/entry/dispatch/exchange.go
@@ -39,9 +39,9 @@
 	tried    []*backend.Backend
 	digest   *quarantine.Fingerprint // computed on first use
 	suspect  quarantine.Attempt      // of the current attempt
-	// closed is why and until when a server refused the request for a rate limit or a backoff,
-	// or why and until when all of them do.
-	closed backend.Backoff
+	// backoff is why and until when a server refuses requests for a rate limit or a backoff,
+	// or the first such period to end if all servers refuse them.
+	backoff backend.Backoff
 
 	backend  *backend.Backend // of the current attempt
 	location AttemptLocation
@@ -120,8 +120,8 @@
 		return x.resolve(ctx, result{event: retry.EventOutcomeUnknown, refusal: contract.Refusal{Reason: contract.ReasonAgentReplaced}})
 	}
 	reason, after := contract.ReasonNoBackend, time.Duration(0)
-	if x.closed.Reason != "" {
-		reason, after = x.closed.Reason, max(0, clock.Until(x.closed.Ends))
+	if x.backoff.Reason != "" {
+		reason, after = x.backoff.Reason, max(0, clock.Until(x.backoff.Ends))
 	} else if len(x.d.directory.Usable(x.contract.Service).Runners) > 0 {
 		reason, after = contract.ReasonOverload, overloadRetryAfter
 	}
@@ -148,7 +148,7 @@
 	choice := x.d.directory.Usable(x.contract.Service)
 	open, next := choice.Available(clock.Now())
 	if next.Reason != "" {
-		x.closed = next
+		x.backoff = next
 		return false
 	}
 	if choice = open; len(x.tried) > 0 {
@@ -360,7 +360,7 @@
 	}
 	after := time.Duration(w.GetRetryAfterMs()) * time.Millisecond
 	if reason := contract.Reason(w.GetReason()); reason == contract.ReasonRateLimit || reason == contract.ReasonBackoff {
-		x.closed = x.backend.SetBackoff(reason, after, clock.Now())
+		x.backoff = x.backend.SetBackoff(reason, after, clock.Now())
 	}
 	if end := w.GetEngineEnd(); end > 0 {
 		x.recordEnd(end)
