--- a/entry/membership/fleet.go
+++ b/entry/membership/fleet.go
@@ -15,8 +15,8 @@
 const (
 	// refreshInterval is how often the set of usable entry VMs is refreshed.
 	refreshInterval = 200 * time.Millisecond
-	// pauseGap is the time between two refreshes from which on this process is assumed to
-	// have been paused.
+	// pauseGap is the least time between two refreshes after which this process is assumed
+	// to have been paused.
 	pauseGap = time.Second
 )
 
--- a/entry/membership/prober.go
+++ b/entry/membership/prober.go
@@ -78,7 +78,7 @@
 			out, changes := p.table.Tick(p.self(), p.rnd, clock.Now())
 			p.mu.Unlock()
 			p.send(out)
-			p.note(changes)
+			p.recordChanges(changes)
 		}
 	}
 }
@@ -138,15 +138,15 @@
 	if !known {
 		return
 	}
-	p.note(changes)
+	p.recordChanges(changes)
 	if answer != nil {
 		p.send([]Datagram{{Address: from, Probe: answer}})
 	}
 	p.onNewer(vm.ID(m.GetVm()), m)
 }
 
-// note records changes of the suspicion of VMs in the timeline.
-func (p *Prober) note(changes []Change) {
+// recordChanges records changes of the suspicion of VMs in the timeline.
+func (p *Prober) recordChanges(changes []Change) {
 	for _, c := range changes {
 		kind, reason := timeline.KindAlive, "answered a probe"
 		if c.Suspect {
