--- a/core/source/doc.go
+++ b/core/source/doc.go
@@ -11,6 +11,6 @@
 //
 // Load pattern: all processes of a fleet follow one store that can take only a few calls
 // a second. Therefore no answer is followed by a call without a pause (pacing.go), few
-// followers lead and the others rely on them (the follower's role), and each follower
-// offers what it learns to the others (offers.go).
+// followers lead and the others rely on them (Role), and each follower offers what it
+// learns to the others (offers.go).
 package source
--- a/core/source/explore_test.go
+++ b/core/source/explore_test.go
@@ -93,7 +93,7 @@
 // exploredFollower is a follower with the state it had in force.
 type exploredFollower struct {
 	*Follower
-	world            *exploration
+	run              *exploration
 	disconnected     bool // cannot reach the store
 	version          int
 	term             uint64
@@ -134,7 +134,7 @@
 }
 
 func (f *exploredFollower) List(context.Context, string, Freshness) ([]Item, Position, error) {
-	w := f.world
+	w := f.run
 	if f.disconnected || w.down {
 		return nil, Position{}, ErrUnavailable
 	}
@@ -147,7 +147,7 @@
 }
 
 func (f *exploredFollower) Watch(_ context.Context, _ string, after Position, _ time.Duration) ([]Event, Position, error) {
-	w := f.world
+	w := f.run
 	if f.disconnected || w.down {
 		return nil, Position{}, ErrUnavailable
 	}
@@ -163,7 +163,7 @@
 }
 
 func (w *exploration) newFollower() *exploredFollower {
-	f := &exploredFollower{world: w, endedIncarnation: make(map[string]int)}
+	f := &exploredFollower{run: w, endedIncarnation: make(map[string]int)}
 	f.Follower = &Follower{Store: f, Log: zerolog.Nop(), Deliver: f.deliver, Rules: exploreRules()}
 	switch w.bug {
 	case bugNoRules:
@@ -181,10 +181,10 @@
 func (f *exploredFollower) deliver(u Update) {
 	config, ok := u.Items[configKey]
 	if !ok && f.version > 0 {
-		f.world.violatef("the configuration is missing at %v, in force: %d", u.Position, f.version)
+		f.run.violatef("the configuration is missing at %v, in force: %d", u.Position, f.version)
 	}
 	if v := leadingNumber(config.Value); ok && v < f.version {
-		f.world.violatef("configuration %d after %d at %v", v, f.version, u.Position)
+		f.run.violatef("configuration %d after %d at %v", v, f.version, u.Position)
 	} else if ok {
 		f.version = v
 	}
@@ -198,7 +198,7 @@
 	f.term = u.Term
 	for key, i := range u.Items {
 		if key != configKey && !isLeaving(i.Value) && leadingNumber(i.Value) <= f.endedIncarnation[key] && f.view.lastAnswer.Sub(f.view.answeringSince) < exploreTTL {
-			f.world.violatef("%s %q at %v, known to be leaving or removed", key, i.Value, u.Position)
+			f.run.violatef("%s %q at %v, known to be leaving or removed", key, i.Value, u.Position)
 		}
 	}
 	f.items = u.Items
--- a/core/source/pacing.go
+++ b/core/source/pacing.go
@@ -62,7 +62,7 @@
 	// RoleStandIn follows because no reachable follower is known to do so. Each try of an
 	// unavailable store adds load, so stand-ins try seldom.
 	RoleStandIn
-	// RolePassive makes no calls to the store.
+	// RolePassive makes no calls to the store. Its name in logs is "rest".
 	RolePassive
 )
 
