--- a/core/notice/state.go
+++ b/core/notice/state.go
@@ -12,10 +12,12 @@
 	backoffUntil time.Time // end of the backoff, zero = none was ever requested
 	leaving      Source    // what first reported that the server leaves, empty = it does not leave
 
-	unlistedSince time.Time // since when it is not listed, zero = it is listed; guarded by the lock of the Table
+	// unlistedSince is the time since which it is not listed, zero = it is listed. It is
+	// guarded by the lock of the Table.
+	unlistedSince time.Time
 }
 
-// Source tells what reported a state.
+// Source identifies what reported a state.
 type Source string
 
 // Sources.
--- a/core/notice/told_test.go
+++ b/core/notice/told_test.go
@@ -71,14 +71,14 @@
 		f.order = append(f.order, m)
 	}
 	for end := f.now.Add(meetingTime); f.now.Before(end); {
-		f.beat()
+		f.sendHeartbeats()
 	}
 	return f
 }
 
-// beat sends the heartbeats that are due. A gateway that knows of the backoff reports it
-// to those that receive its heartbeats.
-func (f *simFleet) beat() {
+// sendHeartbeats sends the heartbeats that are due. A gateway that knows of the backoff
+// reports it to those that receive its heartbeats.
+func (f *simFleet) sendHeartbeats() {
 	f.now = f.now.Add(simTick)
 	for _, m := range f.order {
 		out, _ := m.table.Tick(m.self, f.rnd, f.now)
@@ -112,7 +112,7 @@
 
 // runBackoff simulates one backoff.
 func (f *simFleet) runBackoff() {
-	for end := f.now.Add(simBackoff); f.now.Before(end); f.beat() {
+	for end := f.now.Add(simBackoff); f.now.Before(end); f.sendHeartbeats() {
 		for i, m := range f.order {
 			for k, s := range f.scenarios {
 				if m.self.Active && f.rnd.Float64() < s.perSecond*simTick.Seconds() {
@@ -150,7 +150,8 @@
 			_, idle := f.sums(k + 2)
 			t.Logf("%3d gateways, %4.1f requests a second each: refused %2d if each gateway learns, %2d if reported; withheld without need: 0, %d",
 				n, f.scenarios[k].perSecond, learned, reported, idle)
-			is.New(t).True(learned <= (n+9)/10 || n < 100 && learned <= n) // at most one for each active gateway
+			// At most one refusal for each active gateway.
+			is.New(t).True(learned <= (n+9)/10 || n < 100 && learned <= n)
 		}
 	}
 }
