--- a/entry/api/requests.go
+++ b/entry/api/requests.go
@@ -233,7 +233,7 @@
 		h.Add(f.GetName(), f.GetValue())
 	}
 	s.stream = !hasLength
-	h.Set(HeaderAttempt, formatPlace(at))
+	h.Set(HeaderAttempt, formatLocation(at))
 	s.w.WriteHeader(status)
 	return nil
 }
--- a/entry/api/resume.go
+++ b/entry/api/resume.go
@@ -25,8 +25,8 @@
 // attempt and the VM that runs it; the remainder begins at Baywall-Offset, or after the
 // event named by Last-Event-ID.
 func (a *API) serveResume(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	place, err := parsePlace(r.Header.Get(HeaderAttempt))
-	c := contract.Contract{Request: place.Attempt.Request}
+	location, err := parseLocation(r.Header.Get(HeaderAttempt))
+	c := contract.Contract{Request: location.Attempt.Request}
 	if err != nil {
 		a.refuse(r.Context(), w, c, &contract.Refusal{Outcome: contract.Unknown, Reason: contract.ReasonBadRequest}, err.Error())
 		return
@@ -45,28 +45,28 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), resumeTimeout)
 	defer cancel()
-	a.finish(ctx, w, c, a.Dispatcher.Resume(ctx, place, offset, clock.Now().Add(resumeTimeout), sink))
+	a.finish(ctx, w, c, a.Dispatcher.Resume(ctx, location, offset, clock.Now().Add(resumeTimeout), sink))
 }
 
-// formatPlace writes a place as vm/incarnation/request/attempt.
-func formatPlace(p dispatch.AttemptLocation) string {
+// formatLocation formats a location as vm/incarnation/request/attempt.
+func formatLocation(p dispatch.AttemptLocation) string {
 	return fmt.Sprintf("%s/%d/%s/%d", p.VM, p.Incarnation, p.Attempt.Request, p.Attempt.Number)
 }
 
-// parsePlace parses the result of formatPlace.
-func parsePlace(s string) (dispatch.AttemptLocation, error) {
+// parseLocation parses the result of formatLocation.
+func parseLocation(s string) (dispatch.AttemptLocation, error) {
 	parts := strings.Split(s, "/")
-	errPlace := fmt.Errorf("header %s: value %q, allowed: that of the answer's head", HeaderAttempt, s)
+	errLocation := fmt.Errorf("header %s: value %q, allowed: that of the answer's head", HeaderAttempt, s)
 	if len(parts) != 4 {
-		return dispatch.AttemptLocation{}, errPlace
+		return dispatch.AttemptLocation{}, errLocation
 	}
 	incarnation, err := strconv.ParseUint(parts[1], 10, 64)
 	if err != nil {
-		return dispatch.AttemptLocation{}, errPlace
+		return dispatch.AttemptLocation{}, errLocation
 	}
 	number, err := strconv.ParseUint(parts[3], 10, 32)
 	if err != nil {
-		return dispatch.AttemptLocation{}, errPlace
+		return dispatch.AttemptLocation{}, errLocation
 	}
 	return dispatch.AttemptLocation{
 		VM: vm.ID(parts[0]), Incarnation: vm.Incarnation(incarnation),
--- a/entry/cmd/baywall/client.go
+++ b/entry/cmd/baywall/client.go
@@ -126,7 +126,7 @@
 
 func (c *watchCommand) SetFlags(f *flag.FlagSet) {
 	c.setFlag(f)
-	f.Uint64Var(&c.revision, "revision", 0, "print only what is newer")
+	f.Uint64Var(&c.revision, "revision", 0, "print only resources newer than this revision")
 }
 
 func (c *watchCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -160,8 +160,8 @@
 	f.StringVar(&c.vm, "vm", "", "only events of this VM")
 	f.StringVar(&c.request, "request", "", "only events of this request")
 	f.StringVar(&c.group, "group", "", "only events of this group")
-	f.DurationVar(&c.since, "since", 0, "only events of the last while, 0 = all kept")
-	f.IntVar(&c.limit, "limit", 500, "newest events printed")
+	f.DurationVar(&c.since, "since", 0, "only events of this last period, 0 = all retained")
+	f.IntVar(&c.limit, "limit", 500, "number of newest events to print")
 	f.BoolVar(&c.json, "json", false, "print JSON lines")
 }
 
