--- a/entry/catalog/catalog.go
+++ b/entry/catalog/catalog.go
@@ -95,8 +95,8 @@
 	ColdLimit ColdLimit
 }
 
-// ColdLimit limits the requests to a service's backend servers while they are cold: for some
-// time after their start, and whenever they report it. The zero value sets no limit.
+// ColdLimit limits the requests to a service's backend servers while they are cold: for
+// some time after their start, and whenever they report it. The zero value sets no limit.
 type ColdLimit struct {
 	Window    time.Duration // after a start
 	PerSecond float64       // requests from all callers together, 0 = no limit
