--- a/entry/admission/admission_test.go
+++ b/entry/admission/admission_test.go
@@ -100,8 +100,8 @@
 func TestRetryTimesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Situation{
-			RecoversIn: time.Duration(rapid.IntRange(0, 5000).Draw(t, "back")) * ms,
-			Waiting:    rapid.IntRange(0, 500).Draw(t, "waiting"), Quota: rapid.Float64Range(-50, 50).Draw(t, "room"),
+			RecoversIn: time.Duration(rapid.IntRange(0, 5000).Draw(t, "recovers in")) * ms,
+			Waiting:    rapid.IntRange(0, 500).Draw(t, "waiting"), Quota: rapid.Float64Range(-50, 50).Draw(t, "quota"),
 			Taken: rapid.IntRange(0, 50).Draw(t, "taken"), Stay: time.Duration(rapid.IntRange(0, 5000).Draw(t, "stay")) * ms,
 		}
 		left := time.Duration(rapid.IntRange(0, 60_000).Draw(t, "left")) * ms
--- a/entry/admission/comeback.go
+++ b/entry/admission/comeback.go
@@ -22,16 +22,16 @@
 // take returns the time after which a caller may retry: gap after the latest retry time
 // assigned, but not before the time first, plus the jitter. It returns false, and assigns
 // no retry time, if that is longest or more without the jitter.
-func (t *schedule) take(first, gap, jitter, longest time.Duration, now time.Time) (time.Duration, bool) {
+func (s *schedule) take(first, gap, jitter, longest time.Duration, now time.Time) (time.Duration, bool) {
 	at := now.Add(max(minRetryAfter, first))
-	if t.next.After(at) {
-		at = t.next
+	if s.next.After(at) {
+		at = s.next
 	}
 	pause := at.Sub(now)
 	if pause >= longest {
 		return 0, false
 	}
-	t.next = at.Add(gap)
+	s.next = at.Add(gap)
 	return min(longest, pause+jitter), true
 }
 
--- a/entry/admission/line_test.go
+++ b/entry/admission/line_test.go
@@ -7,30 +7,30 @@
 	"github.com/matryer/is"
 )
 
-func TestOrderOfTheLine(t *testing.T) {
+func TestOrderOfPermitQueue(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	places := []*Place{ // in the order in which they are sent
+	entries := []*QueueEntry{ // in the order in which they are sent
 		{Priority: 0, Until: now.Add(2 * time.Second)},
 		{Priority: 1, Until: now.Add(time.Second)},
 		{Priority: 1, Until: now.Add(3 * time.Second)},
-		{Again: true, Priority: 0, Until: now.Add(time.Second)},
-		{Again: true, Priority: 2, Until: now},
+		{Retry: true, Priority: 0, Until: now.Add(time.Second)},
+		{Retry: true, Priority: 2, Until: now},
 	}
-	var line Line
-	for i := range places {
-		line.Join(places[len(places)-1-i])
+	var queue PermitQueue
+	for i := range entries {
+		queue.Join(entries[len(entries)-1-i])
 	}
-	for i, p := range places {
-		is.Equal(line.Ahead(p), i)
+	for i, e := range entries {
+		is.Equal(queue.Ahead(e), i)
 	}
-	is.Equal(line.Ahead(&Place{Priority: 1, Until: now.Add(2 * time.Second)}), 2) // a request that is not in the queue
-	line.Leave(places[0])
-	is.Equal(line.Ahead(places[2]), 1)
-	for _, p := range places {
-		line.Leave(p)
+	is.Equal(queue.Ahead(&QueueEntry{Priority: 1, Until: now.Add(2 * time.Second)}), 2) // a request that is not in the queue
+	queue.Leave(entries[0])
+	is.Equal(queue.Ahead(entries[2]), 1)
+	for _, e := range entries {
+		queue.Leave(e)
 	}
-	is.True(line.Empty())
+	is.True(queue.Empty())
 }
 
 func TestMayWaitForPermit(t *testing.T) {
@@ -54,7 +54,7 @@
 			if c.edit != nil {
 				c.edit(&r)
 			}
-			is.New(t).Equal(MayWaitForPermit(r, Turn{Next: c.wait}), c.want)
+			is.New(t).Equal(MayWaitForPermit(r, QueueEstimate{Next: c.wait}), c.want)
 		})
 	}
 }
@@ -65,15 +65,15 @@
 	now := time.Unix(0, 0)
 	var p PermitPacer
 	for i := range 5 {
-		is.Equal(p.Pause(Turn{Next: 300 * ms, Gap: 250 * ms}, 0, now), 300*ms+time.Duration(i)*250*ms)
+		is.Equal(p.Pause(QueueEstimate{Next: 300 * ms, Gap: 250 * ms}, 0, now), 300*ms+time.Duration(i)*250*ms)
 	}
 	for range 1000 {
-		pause := p.Pause(Turn{Next: 300 * ms, Gap: 250 * ms}, 0.5, now)
+		pause := p.Pause(QueueEstimate{Next: 300 * ms, Gap: 250 * ms}, 0.5, now)
 		is.True(pause > 0)
 		is.True(pause <= maxRetryAfter)
 	}
-	is.True(p.Pause(Turn{Next: 300 * ms, Gap: 250 * ms}, 1, now) >= maxRetryAfter*4/5) // no retry time is left within the bound
-	is.Equal(p.Pause(Turn{}, 0, now.Add(time.Minute)), minRetryAfter)                  // all assigned retry times are in the past
+	is.True(p.Pause(QueueEstimate{Next: 300 * ms, Gap: 250 * ms}, 1, now) >= maxRetryAfter*4/5) // no retry time is left within the bound
+	is.Equal(p.Pause(QueueEstimate{}, 0, now.Add(time.Minute)), minRetryAfter)                  // all assigned retry times are in the past
 }
 
 // A request waits for the end of a backoff if it can be served long before its caller
@@ -83,18 +83,18 @@
 	cases := []struct {
 		name string
 		age  time.Duration
-		wait Turn
+		wait QueueEstimate
 		want bool
 		keep bool
 	}{
-		{"it ends soon", 0, Turn{Next: 200 * ms}, true, true},
-		{"after the objective", 0, Turn{Next: 800 * ms}, true, true},
-		{"late already", 600 * ms, Turn{Next: 500 * ms}, true, true},
-		{"not sure", 0, Turn{Next: 1000 * ms}, false, true},
-		{"others go first", 0, Turn{Next: 200 * ms, Queue: 800 * ms}, false, true},
-		{"after the caller has left", 0, Turn{Next: 1900 * ms}, false, false},
-		{"a backoff of a day", 0, Turn{Next: 24 * time.Hour}, false, false},
-		{"too late for its caller", 1850 * ms, Turn{}, false, false},
+		{"it ends soon", 0, QueueEstimate{Next: 200 * ms}, true, true},
+		{"after the objective", 0, QueueEstimate{Next: 800 * ms}, true, true},
+		{"late already", 600 * ms, QueueEstimate{Next: 500 * ms}, true, true},
+		{"not sure", 0, QueueEstimate{Next: 1000 * ms}, false, true},
+		{"others go first", 0, QueueEstimate{Next: 200 * ms, Queue: 800 * ms}, false, true},
+		{"after the caller has left", 0, QueueEstimate{Next: 1900 * ms}, false, false},
+		{"a backoff of a day", 0, QueueEstimate{Next: 24 * time.Hour}, false, false},
+		{"too late for its caller", 1850 * ms, QueueEstimate{}, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -113,7 +113,7 @@
 	is := is.New(t)
 	var p PermitPacer
 	now := time.Unix(0, 0)
-	estimate := Turn{Next: 8 * time.Second, Gap: 250 * ms}
+	estimate := QueueEstimate{Next: 8 * time.Second, Gap: 250 * ms}
 	for i := range 10 {
 		is.Equal(p.PauseAfterBackoff(estimate, 0, now), estimate.Next+time.Duration(i)*estimate.Gap)
 	}
@@ -122,5 +122,5 @@
 		is.True(pause >= estimate.Next)
 		is.True(pause <= estimate.Next+maxRetryAfter)
 	}
-	is.True(p.PauseAfterBackoff(Turn{Next: 24 * time.Hour, Gap: ms}, 0, now) >= 24*time.Hour)
+	is.True(p.PauseAfterBackoff(QueueEstimate{Next: 24 * time.Hour, Gap: ms}, 0, now) >= 24*time.Hour)
 }
--- a/entry/admission/stand.go
+++ b/entry/admission/stand.go
@@ -32,41 +32,42 @@
 
 // Observe records that the service serves no request, and reports whether an outage has
 // begun.
-func (s *Outage) Observe(now time.Time) bool {
-	begins := s.since.IsZero() || now.Sub(s.seen) > outageExpiry
+func (o *Outage) Observe(now time.Time) bool {
+	begins := o.since.IsZero() || now.Sub(o.seen) > outageExpiry
 	if begins {
-		s.since = now
+		o.since = now
 	}
-	s.seen = now
+	o.seen = now
 	return begins
 }
 
 // Served records an answer and updates the usual length of an outage if one has ended by
 // it. It returns the length of that outage, 0 = there was none.
-func (s *Outage) Served(now time.Time) time.Duration {
-	if s.since.IsZero() {
+func (o *Outage) Served(now time.Time) time.Duration {
+	if o.since.IsZero() {
 		return 0
 	}
-	length := now.Sub(s.since)
+	length := now.Sub(o.since)
 	lasted := min(maxOutage, max(minOutage, length))
-	if s.usual == 0 {
-		s.usual = defaultOutage
+	if o.usual == 0 {
+		o.usual = defaultOutage
 	}
-	s.usual += time.Duration(outageWeight * float64(lasted-s.usual))
-	s.since = time.Time{}
+	o.usual += time.Duration(outageWeight * float64(lasted-o.usual))
+	o.since = time.Time{}
 	return length
 }
 
-// RecoversIn returns the expected time until the service serves again, 0 = there is no outage.
-func (s *Outage) RecoversIn(now time.Time) time.Duration {
-	if s.since.IsZero() {
+// RecoversIn returns the expected time until the service serves again, 0 = there is no
+// outage.
+func (o *Outage) RecoversIn(now time.Time) time.Duration {
+	if o.since.IsZero() {
 		return 0
 	}
-	usual := s.usual
+	usual := o.usual
 	if usual == 0 {
 		usual = defaultOutage
 	}
-	lasted := now.Sub(s.since)
+	lasted := now.Sub(o.since)
 	if lasted < usual {
 		return max(minRemaining, usual-lasted)
 	}
--- a/entry/admission/urgency.go
+++ b/entry/admission/urgency.go
@@ -8,7 +8,8 @@
 	Age time.Duration
 	// Objective is the age by which an answer has to begin to be on time; 0 = any time.
 	Objective time.Duration
-	// Limit is the age at which the caller leaves if no answer has begun.
+	// Limit is the age at which the caller leaves if it has received nothing by then, or
+	// nothing more of an interrupted stream.
 	Limit time.Duration
 	// FirstAnswer is the usual time from sending a request to the beginning of its
 	// answer, 0 = unknown.
@@ -58,6 +59,6 @@
 	return r.Objective - need - r.Age
 }
 
-// PlacesBefore returns for how long the request may wait for a slot and still be served
+// SlotWait returns for how long the request may wait for a slot and still be served
 // before its caller leaves; negative if it is too late already.
-func (r Request) PlacesBefore() time.Duration { return r.Limit - r.FirstAnswer - r.Age }
+func (r Request) SlotWait() time.Duration { return r.Limit - r.FirstAnswer - r.Age }
--- a/entry/admission/wait.go
+++ b/entry/admission/wait.go
@@ -7,7 +7,8 @@
 
 // Situation is the state of a service as seen by this process.
 type Situation struct {
-	// RecoversIn is the expected time until the service serves again, 0 = there is no outage.
+	// RecoversIn is the expected time until the service serves again, 0 = there is no
+	// outage.
 	RecoversIn time.Duration
 	// Waiting is the number of late requests that wait at this process.
 	Waiting int
@@ -71,12 +72,12 @@
 	case urgency == OnTime && s.RecoversIn < r.Slack():
 		return true
 	case r.Interrupted && s.RecoversIn > 0:
-		return s.RecoversIn/safetyFactor < r.PlacesBefore() // the slots are free when the outage ends
+		return s.RecoversIn/safetyFactor < r.SlotWait() // the slots are free when the outage ends
 	case delay == never:
 		return false
 	case r.Interrupted:
-		return delay/safetyFactor < r.PlacesBefore()
+		return delay/safetyFactor < r.SlotWait()
 	default:
-		return delay*safetyFactor < r.PlacesBefore()
+		return delay*safetyFactor < r.SlotWait()
 	}
 }
--- a/entry/balance/demand.go
+++ b/entry/balance/demand.go
@@ -15,26 +15,26 @@
 	// Avoid reports whether a server gets the request only if there is no other, nil =
 	// none.
 	Avoid func(*Server) bool
-	// MostWait bounds the expected time in the queue of a server, 0 = unbounded.
-	MostWait time.Duration
-	// Occupies is the assumed time for which the request occupies a slot, used until the
-	// service time of an earlier request is known.
-	Occupies time.Duration
+	// MaxWait bounds the expected time in the queue of a server, 0 = unbounded.
+	MaxWait time.Duration
+	// AssumedServiceTime is the time for which the request is assumed to occupy a slot. It
+	// is used until the service time of an earlier request is known.
+	AssumedServiceTime time.Duration
 	// GapTarget is the longest gap between events of a stream that is on time, 0 = the
 	// request is not a stream.
 	GapTarget time.Duration
-	// HoldAt is the gap between events from which a server gets no further stream for a
-	// short time, 0 = none: processing the prompt of a new stream lengthens the engine
-	// pass for all streams of the group.
-	HoldAt time.Duration
+	// HoldThreshold is the gap between events from which a server gets no further stream
+	// for a short time, 0 = none: processing the prompt of a new stream lengthens the
+	// engine pass for all streams of the group.
+	HoldThreshold time.Duration
 	// Late is set if the request can no longer be on time. It must not take a slot that
 	// on-time requests will need.
 	Late bool
-	// Unlimited excludes servers that have a limit. Again avoids them if there are
-	// others, since permits are meant for first attempts.
-	Unlimited, Again bool
-	// Proven excludes servers that rejected their latest request.
-	Proven bool
+	// Unlimited excludes servers that have a limit. PreferUnlimited, which is set for
+	// retries, avoids them if there are others: permits are meant for first attempts.
+	Unlimited, PreferUnlimited bool
+	// ExcludeRejecting excludes servers that rejected their latest request.
+	ExcludeRejecting bool
 }
 
 // Availability is the outcome of a pick: whether it found a server, and why not.
@@ -67,7 +67,7 @@
 const avoidedCost = 1000
 
 // Pick returns a server for the demand and counts a request to it, which the caller
-// releases. The server is drawn by spread.
+// releases. The server is drawn by drawCandidate.
 func (r *Registry) Pick(d Demand, now time.Time) (Choice, Availability) {
 	s := r.shard(d.Service)
 	s.mu.Lock()
@@ -83,7 +83,7 @@
 			rampUp++
 			continue
 		}
-		if d.Exclude[server.ID] || d.Proven && server.full.rejections > 0 {
+		if d.Exclude[server.ID] || d.ExcludeRejecting && server.full.rejections > 0 {
 			continue
 		}
 		if knownGap := s.knownGap(i, now); d.GapTarget > 0 && knownGap > 0 {
@@ -112,7 +112,7 @@
 		}
 		s.candidates = append(s.candidates, candidate{index: i, slots: slots, score: score, limited: limited})
 	}
-	if d.Again {
+	if d.PreferUnlimited {
 		s.candidates = preferUnlimited(s.candidates)
 	}
 	load.InBackoff += rampUp
@@ -124,7 +124,7 @@
 		return Choice{Load: load}, AllBusy
 	case len(s.candidates) > 0:
 		unreported := s.arrivals.rate() * float64(r.peers.Members()) * r.peers.Staleness().Seconds()
-		return s.choose(spread(s.candidates, unreported, rand.Float64()), d, load), Available
+		return s.choose(drawCandidate(s.candidates, unreported, rand.Float64()), d, load), Available
 	case busy:
 		return Choice{Load: load}, AllBusy
 	case load.AtLimit > 0:
@@ -174,24 +174,24 @@
 // for too long, or because streams are held back from it.
 func (s *shard) tooBusy(i int, d Demand, now time.Time) bool {
 	slots := s.usable[i].Slots
-	if d.MostWait <= 0 || slots <= 0 {
+	if d.MaxWait <= 0 || slots <= 0 {
 		return false
 	}
 	if s.holdsBack(i, d, now) || d.GapTarget > 0 && s.tooSlow(i) {
 		return true
 	}
-	if d.HoldAt > 0 && s.usable[i].passes.holds(s.expectedGap(i, now) >= d.HoldAt, now) {
+	if d.HoldThreshold > 0 && s.usable[i].passes.holds(s.expectedGap(i, now) >= d.HoldThreshold, now) {
 		return true
 	}
 	ahead := s.inFlight(i) + 1 - slots // requests that have to end before this one starts
-	return ahead > 0 && time.Duration(ahead)*s.serviceTime(d)/time.Duration(slots) > d.MostWait
+	return ahead > 0 && time.Duration(ahead)*s.serviceTime(d)/time.Duration(slots) > d.MaxWait
 }
 
 // serviceTime returns the expected time for which a request of the demand occupies a
 // slot.
 func (s *shard) serviceTime(d Demand) time.Duration {
 	if s.meanServiceTime == 0 {
-		return d.Occupies
+		return d.AssumedServiceTime
 	}
 	return s.meanServiceTime
 }
@@ -219,9 +219,9 @@
 // serviceTimeWeight is the weight of the newest request in the smoothed service time.
 const serviceTimeWeight = 0.05
 
-// Occupied records for how long a request that did not have to queue occupied a slot of a
-// server of the service.
-func (r *Registry) Occupied(service string, d time.Duration) {
+// RecordServiceTime records for how long a request that did not have to queue occupied a
+// slot of a server of the service.
+func (r *Registry) RecordServiceTime(service string, d time.Duration) {
 	s := r.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/balance/limit.go
+++ b/entry/balance/limit.go
@@ -87,7 +87,7 @@
 			continue
 		}
 		at, perSecond, limited := r.opens(server)
-		if back, inBackoff := s.backAt(server, now); inBackoff {
+		if back, inBackoff := s.availableAt(server, now); inBackoff {
 			if back.After(at) {
 				at = back
 			}
--- a/entry/balance/limit_test.go
+++ b/entry/balance/limit_test.go
@@ -61,8 +61,8 @@
 		{"others are there", []time.Duration{time.Second, none, none}, Demand{}, Available, "bc"},
 		{"a permit may be there", []time.Duration{0, time.Second}, Demand{}, Available, "a"},
 		{"all are at their limits", []time.Duration{time.Second, time.Second}, Demand{}, Limited, ""},
-		{"a second attempt, others are there", []time.Duration{0, none}, Demand{Again: true}, Available, "b"},
-		{"a second attempt, no others", []time.Duration{0, time.Second}, Demand{Again: true}, Available, "a"},
+		{"a second attempt, others are there", []time.Duration{0, none}, Demand{PreferUnlimited: true}, Available, "b"},
+		{"a second attempt, no others", []time.Duration{0, time.Second}, Demand{PreferUnlimited: true}, Available, "a"},
 		{"never to a limited one", []time.Duration{0, 0}, Demand{Unlimited: true}, Limited, ""},
 	}
 	for _, c := range cases {
--- a/entry/balance/pace.go
+++ b/entry/balance/pace.go
@@ -31,8 +31,8 @@
 	lateCost = 1.0
 )
 
-// StreamGap tracks the streams of a server and the gaps between their events. It is safe for
-// concurrent use.
+// StreamGap tracks the streams of a server and the gaps between their events. It is safe
+// for concurrent use.
 type StreamGap struct {
 	mu        sync.Mutex
 	gap       time.Duration // smoothed
--- a/entry/balance/pace_test.go
+++ b/entry/balance/pace_test.go
@@ -22,7 +22,7 @@
 		server.StreamGap.Begun(now)
 		server.StreamGap.Event(gap, now)
 	}
-	stream := Demand{Service: "s", GapTarget: 120 * time.Millisecond, MostWait: time.Second, HoldAt: 90 * time.Millisecond}
+	stream := Demand{Service: "s", GapTarget: 120 * time.Millisecond, MaxWait: time.Second, HoldThreshold: 90 * time.Millisecond}
 	availability := func(d Demand, now time.Time) Availability {
 		c, found := r.Pick(d, now)
 		if found == Available {
@@ -35,7 +35,7 @@
 	long(140*time.Millisecond, start)
 	is.Equal(availability(stream, start), AllBusy)
 	withoutHold := stream
-	withoutHold.HoldAt = 0
+	withoutHold.HoldThreshold = 0
 	is.Equal(availability(withoutHold, start), Available)
 	later := start.Add(holdTime)
 	long(140*time.Millisecond, later)
@@ -60,9 +60,9 @@
 // A slow rank makes its whole group wait, and the longer the more requests it has.
 func TestASlowRankGetsNoStreamsWhileMostRanksAreNotSlow(t *testing.T) {
 	is := is.New(t)
-	stream := Demand{Service: "s", GapTarget: 120 * time.Millisecond, MostWait: time.Millisecond}
+	stream := Demand{Service: "s", GapTarget: 120 * time.Millisecond, MaxWait: time.Millisecond}
 	one := ranks(slowRanks{cluster.EngineKey("127.0.0.1:1"): 3.3})
-	one.Occupied("s", time.Second)
+	one.RecordServiceTime("s", time.Second)
 	for range 24 {
 		c, found := one.Pick(stream, start)
 		is.Equal(found, Available)
@@ -73,7 +73,7 @@
 	is.True(!one.TooSlow(servers["1"]))
 	_, found := one.Pick(stream, start)
 	is.Equal(found, AllBusy) // rather than making all streams late
-	c, found := one.Pick(Demand{Service: "s", MostWait: time.Millisecond}, start)
+	c, found := one.Pick(Demand{Service: "s", MaxWait: time.Millisecond}, start)
 	is.Equal(found, Available) // a request that is not a stream does not depend on the gap
 	is.Equal(c.Server.ID, "0")
 
@@ -147,7 +147,7 @@
 func TestQueuesAreBoundedBeforeAnyRequestHasEnded(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a")
-	d := Demand{Service: "s", MostWait: 250 * time.Millisecond, Occupies: 2 * time.Second}
+	d := Demand{Service: "s", MaxWait: 250 * time.Millisecond, AssumedServiceTime: 2 * time.Second}
 	for range 13 { // 12 in the slots, and one that waits for 167 ms
 		_, found := r.Pick(d, start)
 		is.Equal(found, Available)
--- a/entry/balance/probation_test.go
+++ b/entry/balance/probation_test.go
@@ -10,6 +10,7 @@
 	"baywall.example/core/cluster"
 )
 
+// If no probe is answered, requests are sent to the servers again in the end.
 func TestProbationEnds(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a", "b", "c")
@@ -28,7 +29,7 @@
 	for _, server := range r.shard("s").servers {
 		r.Rejected(server, start)
 	}
-	d := Demand{Service: "s", MostWait: 200 * time.Millisecond}
+	d := Demand{Service: "s", MaxWait: 200 * time.Millisecond}
 	_, found := r.Pick(d, start)
 	is.Equal(found, Unavailable)
 	a := r.shard("s").servers["a"]
@@ -87,7 +88,7 @@
 	for _, server := range r.shard("s").servers {
 		server.slowStart = start
 	}
-	d := Demand{Service: "s", GapTarget: 120 * time.Millisecond, MostWait: 200 * time.Millisecond}
+	d := Demand{Service: "s", GapTarget: 120 * time.Millisecond, MaxWait: 200 * time.Millisecond}
 	_, found := r.Pick(d, start)
 	is.Equal(found, Available) // no gap is known
 	a := r.shard("s").servers["a"]
@@ -95,7 +96,7 @@
 	a.StreamGap.Event(110*time.Millisecond, start)
 	_, found = r.Pick(d, start)
 	is.Equal(found, AllBusy)
-	d.HoldAt = 90 * time.Millisecond
+	d.HoldThreshold = 90 * time.Millisecond
 	a.StreamGap.Ended()
 	_, found = r.Pick(d, start.Add(slowStartTime))
 	is.Equal(found, Available) // the known gap has expired
@@ -114,7 +115,7 @@
 		r.Arrived("s", now)
 		now = now.Add(250 * time.Millisecond)
 	}
-	late := Demand{Service: "s", Late: true, Occupies: 2 * time.Second} // 8 of the 12 slots are needed by on-time requests
+	late := Demand{Service: "s", Late: true, AssumedServiceTime: 2 * time.Second} // 8 of the 12 slots are needed by on-time requests
 	var taken []Choice
 	for {
 		c, found := r.Pick(late, now)
@@ -125,7 +126,7 @@
 		taken = append(taken, c)
 	}
 	is.Equal(len(taken), 4)
-	onTime := Demand{Service: "s", MostWait: time.Millisecond, Occupies: 2 * time.Second}
+	onTime := Demand{Service: "s", MaxWait: time.Millisecond, AssumedServiceTime: 2 * time.Second}
 	for range 8 {
 		_, found := r.Pick(onTime, now)
 		is.Equal(found, Available)
@@ -154,7 +155,7 @@
 	var formed time.Time
 	r := NewRegistry(formedGroups{at: &formed}, "", zerolog.Nop())
 	r.Update(infos("a", "b", "c"), at(1), 0, start)
-	d := Demand{Service: "s", GapTarget: 120 * time.Millisecond, MostWait: 200 * time.Millisecond}
+	d := Demand{Service: "s", GapTarget: 120 * time.Millisecond, MaxWait: 200 * time.Millisecond}
 	for _, server := range r.shard("s").servers {
 		server.StreamGap.Sent(start.Add(-time.Second))
 		is.True(server.StreamGap.Gap(start) >= stallThreshold)
--- a/entry/balance/registry.go
+++ b/entry/balance/registry.go
@@ -87,8 +87,8 @@
 	return s
 }
 
-// Update applies a full list. Servers that are missing from it are retained for the grace
-// period gracePeriod, which is above zero if the source was unavailable until now.
+// Update applies a full list. Servers that are missing from it are retained for
+// gracePeriod, which is above zero if the source was unavailable until now.
 func (r *Registry) Update(list []Info, at source.Position, gracePeriod time.Duration, now time.Time) {
 	byService := make(map[string][]Info)
 	for _, info := range list {
@@ -379,9 +379,9 @@
 		Dur("for", firstEjection).Msg("backend server ejected")
 }
 
-// SaysLeaving records that the server announced in an answer that it drains. It gets no
+// RecordDraining records that the server announced in an answer that it drains. It gets no
 // new requests, whatever its entries state.
-func (r *Registry) SaysLeaving(server *Server) {
+func (r *Registry) RecordDraining(server *Server) {
 	if server.noticeState.Leave(notice.FromAnswer) {
 		r.log.Info().Str("server", server.ID).Str("service", server.Service).Str("source", string(notice.FromAnswer)).Msg("backend server drains")
 	}
@@ -394,9 +394,9 @@
 )
 
 // Admits returns an error if a request that was already assigned to the server must no
-// longer be sent to it. The error tells whether the server is in a backoff or takes no new
-// requests: because it is no longer listed, drains, is in an evacuated availability zone
-// or was replaced at its address.
+// longer be sent to it: ErrInBackoff if the server is in a backoff, ErrLeaving if it takes
+// no new requests because it is no longer listed, drains, is in an evacuated availability
+// zone or was replaced at its address.
 func (r *Registry) Admits(server *Server, now time.Time) error {
 	s := r.shard(server.Service)
 	s.mu.Lock()
--- a/entry/balance/registry_test.go
+++ b/entry/balance/registry_test.go
@@ -264,17 +264,17 @@
 func TestTheQueueTimeIsBounded(t *testing.T) {
 	is := is.New(t)
 	r := registry(nil, "a")
-	d := Demand{Service: "s", MostWait: 200 * time.Millisecond}
+	d := Demand{Service: "s", MaxWait: 200 * time.Millisecond}
 	for range 12 {
 		_, found := r.Pick(d, start)
 		is.Equal(found, Available)
 	}
 	_, found := r.Pick(d, start)
 	is.Equal(found, Available) // the service time is not known yet
-	r.Occupied("s", 1500*time.Millisecond)
+	r.RecordServiceTime("s", 1500*time.Millisecond)
 	_, found = r.Pick(d, start)
 	is.Equal(found, AllBusy) // 2 requests before it, 125 ms each
-	d.MostWait = time.Second
+	d.MaxWait = time.Second
 	_, found = r.Pick(d, start)
 	is.Equal(found, Available)
 }
--- a/entry/balance/rest.go
+++ b/entry/balance/rest.go
@@ -47,9 +47,9 @@
 	return s.meanServiceTime
 }
 
-// backAt returns when a server in a backoff or ramp-up may get a request; false if it is
-// in neither.
-func (s *shard) backAt(server *Server, now time.Time) (at time.Time, inBackoff bool) {
+// availableAt returns when a server in a backoff or ramp-up may get a request; false if it
+// is in neither.
+func (s *shard) availableAt(server *Server, now time.Time) (at time.Time, inBackoff bool) {
 	window := server.rampUp.window
 	switch {
 	case server.HasBackoff(now):
@@ -61,8 +61,8 @@
 	}
 }
 
-// StartBackoff records that the server rejected a request and asked this gateway for a backoff.
-// It returns the end of the backoff, and whether the server was in a backoff before.
+// StartBackoff records that the server asked this gateway for a backoff. It returns the
+// end of the backoff, and whether the server was in a backoff before.
 func (r *Registry) StartBackoff(server *Server, backoff time.Duration, now time.Time) (until time.Time, before bool) {
 	s := r.shard(server.Service)
 	s.mu.Lock()
--- a/entry/balance/rest_test.go
+++ b/entry/balance/rest_test.go
@@ -180,7 +180,7 @@
 	draining.Draining = true
 	restarted := base
 	restarted.Started = 2
-	answered := func(r *Registry) { r.SaysLeaving(serverOf(r, "a")) }
+	answered := func(r *Registry) { r.RecordDraining(serverOf(r, "a")) }
 	listed := func(list ...Info) func(*Registry) {
 		return func(r *Registry) { r.Update(list, at(1), 0, start) }
 	}
--- a/entry/balance/server.go
+++ b/entry/balance/server.go
@@ -34,7 +34,7 @@
 }
 
 // laterThan reports whether the server took over an address from the other one. Positions
-// from different eras of the source are not comparable, so such entries are ordered by
+// from different terms of the source are not comparable, so such entries are ordered by
 // the start times of their servers.
 func (i Info) laterThan(o Info) bool {
 	if i.At.Term != o.At.Term && i.Started != 0 && o.Started != 0 {
--- a/entry/balance/spread.go
+++ b/entry/balance/spread.go
@@ -14,13 +14,13 @@
 	limited bool
 }
 
-// spread draws one of the candidates and returns its index. Requests that other gateways
-// send in the meantime, which are not reported yet, are assumed to be spread in the same
-// way: the probability of a server is proportional to the number of requests that fit on
-// it below the level to which all these requests together would raise the least loaded
-// servers. Without such requests, the least loaded server is chosen. The draw is uniform
-// in [0, 1). The candidates are reordered.
-func spread(c []candidate, unreported, draw float64) int {
+// drawCandidate draws one of the candidates and returns its index. Requests that other
+// gateways send in the meantime, which are not reported yet, are assumed to be spread in
+// the same way: the probability of a server is proportional to the number of requests
+// that fit on it below the level to which all these requests together would raise the
+// least loaded servers. Without such requests, the least loaded server is chosen. The draw
+// is uniform in [0, 1). The candidates are reordered.
+func drawCandidate(c []candidate, unreported, draw float64) int {
 	slices.SortFunc(c, func(a, b candidate) int {
 		switch {
 		case a.score < b.score:
--- a/entry/balance/spread_test.go
+++ b/entry/balance/spread_test.go
@@ -31,7 +31,7 @@
 				for j, load := range loads {
 					candidates = append(candidates, candidate{index: j, slots: 10, score: load / 10})
 				}
-				counts[spread(candidates, c.unreported, (float64(i)+0.5)/draws)]++
+				counts[drawCandidate(candidates, c.unreported, (float64(i)+0.5)/draws)]++
 			}
 			for j, want := range c.share {
 				got := counts[j] / draws
@@ -60,7 +60,7 @@
 					candidates[i] = candidate{index: i, slots: 10, score: float64(reported[i]) / 10}
 				}
 				rnd.Shuffle(servers, func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-				picked := spread(candidates, unreported, rnd.Float64())
+				picked := drawCandidate(candidates, unreported, rnd.Float64())
 				actual[picked]++
 				now = append(now, picked)
 			}
--- a/entry/gateway/dispatch.go
+++ b/entry/gateway/dispatch.go
@@ -233,7 +233,7 @@
 		a = q.forwardAnswer(answer, stream)
 	}
 	if a.verdict == verdictAnswered && c.InFlight < c.Server.Slots {
-		q.g.registry.Occupied(q.service, clock.Since(began))
+		q.g.registry.RecordServiceTime(q.service, clock.Since(began))
 	}
 	if a.verdict == verdictAnswered && q.route.Kind != catalog.KindStream {
 		q.recordFirstAnswer(c, began)
--- a/entry/gateway/entries.go
+++ b/entry/gateway/entries.go
@@ -20,17 +20,17 @@
 }
 
 // source returns the name of the gateway that the state came from, or "store".
-func (k appliedState) source() string {
-	if k.from == "" {
+func (s appliedState) source() string {
+	if s.from == "" {
 		return "store"
 	}
-	return k.from
+	return s.from
 }
 
 // applied returns the state that was applied last, or its zero value if there was none.
 func (g *Gateway) applied() appliedState {
-	if k := g.appliedState.Load(); k != nil {
-		return *k
+	if s := g.appliedState.Load(); s != nil {
+		return *s
 	}
 	return appliedState{}
 }
@@ -47,7 +47,7 @@
 //   - An entry that was removed and is listed again is older until the store's lease has
 //     expired.
 //   - An evacuation that the copy lacks continues until it is withdrawn: sending to a backend
-//     server that must get nothing is worse than sparing one needlessly.
+//     server that must get nothing is worse than leaving one out needlessly.
 func (g *Gateway) rules() source.Rules {
 	return source.Rules{
 		Outdated: g.outdated,
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -65,9 +65,9 @@
 	is := is.New(t)
 	w := start(t, 0, ok)
 	g := w.gateway
-	take := func(era, revision, version uint64, n int) {
+	take := func(term, revision, version uint64, n int) {
 		i := entry(t, "catalog", catalog.Content{Version: version, Routes: routes()[:n]})
-		i.Position = source.Position{Term: era, Revision: revision}
+		i.Position = source.Position{Term: term, Revision: revision}
 		g.applyCatalog(source.Update{Items: map[string]source.Item{"catalog": i}, Position: i.Position})
 	}
 	take(1, 7, 7, 2)
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -98,7 +98,7 @@
 	g.registry.LimitBy(g.limits)
 	node.OnLimits(g.limits.receiveReports)
 	g.peering = newPeering(g)
-	node.OnPeerUp(g.peering.peerMet)
+	node.OnPeerUp(g.peering.peerUp)
 	g.follower = &source.Follower{
 		Store: a.Store(s.Store, log), Log: log, Deliver: g.applyUpdate, Within: s.Follow.Within, Rules: g.rules(),
 		Others: g.followers, Role: func() source.Role { return g.peering.decideRole() },
--- a/entry/gateway/notice.go
+++ b/entry/gateway/notice.go
@@ -21,7 +21,7 @@
 	g.limits.recordAnswer(server, answer, reported, sent, now)
 	if reported.Leaving {
 		g.inst.leavingNotices.Inc()
-		g.registry.SaysLeaving(server)
+		g.registry.RecordDraining(server)
 	}
 	if reported.Backoff > 0 {
 		until, before := g.registry.StartBackoff(server, reported.Backoff, now)
--- a/entry/gateway/notice_test.go
+++ b/entry/gateway/notice_test.go
@@ -76,7 +76,7 @@
 		want error
 	}{
 		{"backoff", func(g *Gateway, s *balance.Server) { g.registry.StartBackoff(s, time.Minute, clock.Now()) }, balance.ErrInBackoff},
-		{"leaving", func(g *Gateway, s *balance.Server) { g.registry.SaysLeaving(s) }, errOutdated},
+		{"leaving", func(g *Gateway, s *balance.Server) { g.registry.RecordDraining(s) }, errOutdated},
 		{"nothing", func(*Gateway, *balance.Server) {}, nil},
 	}
 	for _, c := range cases {
@@ -119,7 +119,7 @@
 		choice, _ := w.gateway.registry.Pick(balance.Demand{Service: "s"}, clock.Now())
 		choice.Release()
 		w.gateway.registry.StartBackoff(choice.Server, time.Minute, clock.Now())
-		w.gateway.registry.SaysLeaving(choice.Server)
+		w.gateway.registry.RecordDraining(choice.Server)
 		close(goOn)
 	}()
 	resp, body, err := w.get(t, t.Context(), "/stream/x", nil)
--- a/entry/gateway/patience.go
+++ b/entry/gateway/patience.go
@@ -56,8 +56,8 @@
 	mu                 sync.Mutex
 	outage             admission.Outage
 	pacer              admission.Pacer
-	permitWait         admission.Line        // queue of requests that wait for a permit or for the end of a backoff
-	permitPacer        admission.PermitPacer // Retry-After of callers refused for lack of one
+	permitWait         admission.PermitQueue // queue of requests that wait for a permit or for the end of a backoff
+	permitPacer        admission.PermitPacer // Retry-After of callers refused for lack of a permit or during a backoff
 	lateWaiting        int                   // late requests that wait for a slot
 	interruptedWaiting int                   // interrupted requests among these, which go first
 	first              time.Duration         // typical time from the sending of a request to its first answer
@@ -163,14 +163,14 @@
 func (q *request) demand(now time.Time) balance.Demand {
 	r := q.admissionRequest(now)
 	d := balance.Demand{
-		Service: q.service, Exclude: q.excluded, Proven: q.rejected, Again: q.sequence.Attempts() > 0, Late: r.Urgency() != admission.OnTime, Occupies: q.route.Objective,
+		Service: q.service, Exclude: q.excluded, ExcludeRejecting: q.rejected, PreferUnlimited: q.sequence.Attempts() > 0, Late: r.Urgency() != admission.OnTime, AssumedServiceTime: q.route.Objective,
 	}
 	if q.route.Kind == catalog.KindStream {
 		d.GapTarget = q.route.GapTarget
-		d.Occupies *= defaultStreamOccupancy
-		d.HoldAt = q.holdThreshold(now)
+		d.AssumedServiceTime *= defaultStreamOccupancy
+		d.HoldThreshold = q.holdThreshold(now)
 	}
-	d.MostWait = q.maxQueueWait(r)
+	d.MaxWait = q.maxQueueWait(r)
 	return d
 }
 
@@ -313,9 +313,9 @@
 	// and groups of ranks are back about two seconds after a power loss, and operators take
 	// at least as long.
 	outageRetryAfter = 2 * time.Second
-	// retrySpread is the fraction by which these are randomized, so that callers that were
+	// retryJitter is the fraction by which these are randomized, so that callers that were
 	// refused together do not return together.
-	retrySpread = 0.2
+	retryJitter = 0.2
 )
 
 // retryAfter returns the time after which the caller may retry.
@@ -339,13 +339,13 @@
 			return q.quarantined.Remaining
 		}
 	case contract.ReasonStarting, contract.ReasonEvacuated, contract.ReasonDraining:
-		return spreadOut(max(r.RetryAfter, outageRetryAfter))
+		return addJitter(max(r.RetryAfter, outageRetryAfter))
 	}
-	return spreadOut(max(r.RetryAfter, minRetryAfter))
+	return addJitter(max(r.RetryAfter, minRetryAfter))
 }
 
-func spreadOut(after time.Duration) time.Duration {
-	return after + time.Duration(retrySpread*rand.Float64()*float64(after))
+func addJitter(after time.Duration) time.Duration {
+	return after + time.Duration(retryJitter*rand.Float64()*float64(after))
 }
 
 // overloadRetryAfter returns the time after which a caller that found no free slot may
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -35,7 +35,7 @@
 	exchange *follow.Exchange // under mu
 	passive  atomic.Bool      // other gateways follow the store on behalf of this one
 	election *follow.Election
-	lastRole atomic.Int32 // source.Duty of the latest decision
+	lastRole atomic.Int32 // source.Role of the latest decision
 	encoder  packer
 	// suspectPulls counts the gateways from which suspects were pulled since
 	// suspectPullsSince, under mu.
--- a/entry/gateway/probe.go
+++ b/entry/gateway/probe.go
@@ -87,7 +87,7 @@
 }
 
 // maySend returns an error if nothing may be sent to the server: errOutdated if it must get
-// nothing any more, balance.ErrResting if it is in backoff.
+// nothing any more, balance.ErrInBackoff if it is in backoff.
 func (g *Gateway) maySend(server *balance.Server) error {
 	err := g.registry.Admits(server, clock.Now())
 	if errors.Is(err, balance.ErrLeaving) {
--- a/entry/gateway/quarantine.go
+++ b/entry/gateway/quarantine.go
@@ -108,9 +108,9 @@
 	return server.Pool.Liveness(ctx)
 }
 
-// peerMet pulls all known suspects from a gateway that was newly met. Heartbeats carry only
+// peerUp pulls all known suspects from a gateway that was newly met. Heartbeats carry only
 // some of the suspects at a time.
-func (p *peering) peerMet(peer cluster.Peer) {
+func (p *peering) peerUp(peer cluster.Peer) {
 	p.mu.Lock()
 	now := clock.Now()
 	if now.Sub(p.suspectPullsSince) >= suspectPullWindow {
--- a/entry/gateway/request.go
+++ b/entry/gateway/request.go
@@ -66,10 +66,10 @@
 	quarantineAttempt quarantine.Attempt      // the current attempt, as package quarantine tracks it
 	quarantined       *quarantine.Judgement   // nil unless it is refused as quarantined
 
-	permitWait *admission.Place // entry in the queue for a permit or for the end of a backoff, nil = not queued
-	atLimit    int              // servers excluded at the latest pick because they are at their limits
-	backingOff int              // servers excluded at the latest pick because they are in backoff
-	queueUntil time.Time        // until when it waits for a permit or for the end of a backoff
+	permitWait *admission.QueueEntry // entry in the queue for a permit or for the end of a backoff, nil = not queued
+	atLimit    int                   // servers excluded at the latest pick because they are at their limits
+	backingOff int                   // servers excluded at the latest pick because they are in backoff
+	queueUntil time.Time             // until when it waits for a permit or for the end of a backoff
 
 	server         string                // server of the latest attempt
 	serverLimit    *ratelimit.KnownLimit // limit that the server had named when the attempt was made, nil = none
--- a/entry/gateway/state.go
+++ b/entry/gateway/state.go
@@ -49,8 +49,8 @@
 		item.Removed = e.Removed
 		out.Items = append(out.Items, item)
 	}
-	for _, k := range s.RetainedItems {
-		out.Kept = append(out.Kept, p.item(k))
+	for _, item := range s.RetainedItems {
+		out.Kept = append(out.Kept, p.item(item))
 	}
 	for _, g := range s.Gone {
 		item := p.item(g.Item)
@@ -74,8 +74,8 @@
 func (p *packer) pack(i source.Item) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if k, ok := p.cache[i.Key]; ok && k.at == i.Position {
-		return k.value
+	if c, ok := p.cache[i.Key]; ok && c.at == i.Position {
+		return c.value
 	}
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
--- a/entry/gateway/stream.go
+++ b/entry/gateway/stream.go
@@ -143,8 +143,8 @@
 	}
 	now := clock.Now()
 	d := q.demand(now)
-	d.HoldAt, d.MostWait, d.Late = 0, freeSlotWait, false // the stream frees a slot of the same group
-	d.Unlimited = true                                    // it is being served already, so it takes no permit of a server with a limit
+	d.HoldThreshold, d.MaxWait, d.Late = 0, freeSlotWait, false // the stream frees a slot of the same group
+	d.Unlimited = true                                          // it is being served already, so it takes no permit of a server with a limit
 	d.Avoid = q.avoidedServers(now)
 	choice, found := q.g.registry.Pick(d, now)
 	if found != balance.Available {
--- a/entry/gateway/stream_test.go
+++ b/entry/gateway/stream_test.go
@@ -47,5 +47,5 @@
 	is.True(q.move(from.Server, &streamState{lastID: "3"}))
 	is.True(q.moveTo.Server != from.Server)
 	is.True(q.mayWait(q.admissionRequest(time.Now()), time.Now()))
-	is.True(q.admissionRequest(time.Now()).PlacesBefore() > time.Second)
+	is.True(q.admissionRequest(time.Now()).SlotWait() > time.Second)
 }
--- a/entry/gateway/turn.go
+++ b/entry/gateway/turn.go
@@ -13,20 +13,20 @@
 // decides which.
 
 // newQueueEntry returns the entry with which the request joins the permit queue.
-func (q *request) newQueueEntry(now time.Time) *admission.Place {
+func (q *request) newQueueEntry(now time.Time) *admission.QueueEntry {
 	wait := q.admissionRequest(now).PermitWait()
-	return &admission.Place{Again: q.sequence.Attempts() > 0, Priority: q.priority, Until: now.Add(wait)}
+	return &admission.QueueEntry{Retry: q.sequence.Attempts() > 0, Priority: q.priority, Until: now.Add(wait)}
 }
 
 // queueAvailability returns why the request may not look for a server now, because as many
-// more urgent requests wait as servers can take one: balance.Limited or balance.Resting. It
-// returns balance.Available if the request may look.
+// more urgent requests wait as servers can take one: balance.Limited or balance.InBackoff.
+// It returns balance.Available if the request may look.
 func (q *request) queueAvailability(now time.Time) balance.Availability {
 	s := q.state
 	if q.permitWait == nil && !s.hasPermitQueue() {
 		return balance.Available
 	}
-	ahead := s.aheadInQueue(q.queueEntryOrNew(now))
+	ahead := s.aheadInQueue(q.currentOrNewEntry(now))
 	if ahead == 0 {
 		return balance.Available
 	}
@@ -41,9 +41,9 @@
 	}
 }
 
-// queueEntryOrNew returns the request's entry in the permit queue, or the one it would join
-// with.
-func (q *request) queueEntryOrNew(now time.Time) *admission.Place {
+// currentOrNewEntry returns the request's entry in the permit queue, or the one with which
+// it would join.
+func (q *request) currentOrNewEntry(now time.Time) *admission.QueueEntry {
 	if q.permitWait != nil {
 		return q.permitWait
 	}
@@ -52,14 +52,14 @@
 
 // queueEstimate returns when the request can expect to be accepted by a server that is at
 // its limit or in backoff.
-func (q *request) queueEstimate(now time.Time) admission.Turn {
+func (q *request) queueEstimate(now time.Time) admission.QueueEstimate {
 	p := q.g.registry.Permits(q.service, now)
 	gap := maxPermitGap
 	if p.PerSecond > 0 {
 		gap = min(gap, time.Duration(float64(q.g.node.Members())/p.PerSecond*float64(time.Second)))
 	}
-	ahead := q.state.aheadInQueue(q.queueEntryOrNew(now))
-	return admission.Turn{Next: p.Next, Queue: time.Duration(ahead) * gap, Gap: gap}
+	ahead := q.state.aheadInQueue(q.currentOrNewEntry(now))
+	return admission.QueueEstimate{Next: p.Next, Queue: time.Duration(ahead) * gap, Gap: gap}
 }
 
 // maxPermitGap bounds the estimated time between two permits, far beyond any wait that
@@ -96,8 +96,8 @@
 	return s.permitPacer.Pause(queueEstimate, rand.Float64(), now)
 }
 
-// backoffRetryAfter returns the time after which a caller may retry while all servers are in
-// backoff.
+// backoffRetryAfter returns the time after which a caller may retry while all servers are
+// in backoff.
 func (q *request) backoffRetryAfter(now time.Time) time.Duration {
 	queueEstimate := q.queueEstimate(now)
 	s := q.state
@@ -115,7 +115,7 @@
 
 // aheadInQueue returns the number of requests that go before the given one in the permit
 // queue.
-func (s *serviceState) aheadInQueue(p *admission.Place) int {
+func (s *serviceState) aheadInQueue(p *admission.QueueEntry) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.permitWait.Ahead(p)
@@ -126,7 +126,7 @@
 	if q.permitWait != nil {
 		return
 	}
-	by := q.queueEstimate(now).PermitBy()
+	by := q.queueEstimate(now).PermitWaitLimit()
 	if found == balance.InBackoff {
 		by = q.queueEstimate(now).BackoffWaitLimit()
 	}
@@ -137,7 +137,8 @@
 	q.state.permitWait.Join(q.permitWait)
 }
 
-// leavePermitQueue removes the request from the permit queue of a service if it waits there.
+// leavePermitQueue removes the request from the permit queue of a service if it waits
+// there.
 func (q *request) leavePermitQueue(s *serviceState) {
 	if q.permitWait == nil {
 		return
