--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -75,6 +75,6 @@
 // Suspended returns for how long the machine was suspended since the process started.
 func Suspended() time.Duration { return suspensions.suspended() }
 
-// Suspend simulates a suspension of the machine for the given time. It is for tests, as an
+// SimulateSuspension simulates a suspension of the machine for the given time. It is for tests, as an
 // unprivileged process cannot suspend its machine. A call with the negated time undoes it.
-func Suspend(d time.Duration) { suspensions.simulated.Add(int64(d)) }
+func SimulateSuspension(d time.Duration) { suspensions.simulated.Add(int64(d)) }
--- a/core/clock/clock_test.go
+++ b/core/clock/clock_test.go
@@ -12,7 +12,7 @@
 	is := is.New(t)
 	before := Now()
 	is.True(Since(before) < 10*time.Second)
-	Suspend(time.Minute)
+	SimulateSuspension(time.Minute)
 	is.True(Since(before) >= time.Minute)
 	is.True(Until(before.Add(2*time.Minute)) <= time.Minute)
 	is.True(Suspended() >= time.Minute)
@@ -42,13 +42,13 @@
 	child, stop := context.WithCancel(ctx)
 	defer stop()
 	is.NoErr(ctx.Err())
-	Suspend(30 * time.Second)
+	SimulateSuspension(30 * time.Second)
 	at, ok := ctx.Deadline()
 	is.True(ok)
 	is.True(time.Until(at) <= 30*time.Second)
 	time.Sleep(3 * wakeInterval)
 	is.NoErr(ctx.Err())
-	Suspend(30 * time.Second)
+	SimulateSuspension(30 * time.Second)
 	select {
 	case <-child.Done():
 	case <-time.After(time.Second):
--- a/entry/gateway/suspended_test.go
+++ b/entry/gateway/suspended_test.go
@@ -15,11 +15,11 @@
 // suspendedFirst simulates a suspension of the gateway's machine and resets the connection
 // on the first attempt, and answers every later attempt.
 func suspendedFirst(t *testing.T, suspended time.Duration, left *int) func(n int, w http.ResponseWriter, r *http.Request) {
-	t.Cleanup(func() { clock.Suspend(-suspended) }) // undoes the suspension for other tests
+	t.Cleanup(func() { clock.SimulateSuspension(-suspended) }) // undoes the suspension for other tests
 	return func(n int, w http.ResponseWriter, r *http.Request) {
 		*left, _ = strconv.Atoi(r.Header.Get("T-Deadline"))
 		if n == 1 {
-			clock.Suspend(suspended)
+			clock.SimulateSuspension(suspended)
 			resetConnection(w)
 			return
 		}
--- a/entry/limits/suspended_test.go
+++ b/entry/limits/suspended_test.go
@@ -34,8 +34,8 @@
 		return len(releases)
 	}
 	is.True(admitted() > Base(80, 4))
-	clock.Suspend(LeaseTime)
-	defer clock.Suspend(-LeaseTime)
+	clock.SimulateSuspension(LeaseTime)
+	defer clock.SimulateSuspension(-LeaseTime)
 	n.cut = true
 	is.Equal(admitted(), Base(80, 4))
 }
