--- a/standin/cmd/experiment/answers.go
+++ b/standin/cmd/experiment/answers.go
@@ -11,7 +11,7 @@
 	"baywall.example/standin/report"
 )
 
-// answersCommand tells from a fleet's logs how its requests ended, second by second.
+// answersCommand counts from a fleet's logs how its requests ended in each second.
 type answersCommand struct {
 	log, service, plot string
 }
--- a/standin/cmd/experiment/control.go
+++ b/standin/cmd/experiment/control.go
@@ -18,8 +18,8 @@
 	"baywall.example/standin/fleet"
 )
 
-// controlCommand measures what control alone costs each process, at several
-// sizes, while configuration changes now and then and there are no requests.
+// controlCommand measures the cost of the control traffic for each process, at several fleet
+// sizes, with periodic configuration changes and without requests.
 type controlCommand struct {
 	length time.Duration
 	period time.Duration
@@ -52,7 +52,7 @@
 func (c *controlCommand) run(dir string, binaries fleet.Binaries) error {
 	network := 70
 	for n := c.least; n <= c.most; n *= 2 {
-		if err := c.size(n, fmt.Sprintf("127.%d", network), dir, binaries); err != nil {
+		if err := c.measureSize(n, fmt.Sprintf("127.%d", network), dir, binaries); err != nil {
 			return err
 		}
 		network++
@@ -60,14 +60,15 @@
 	return nil
 }
 
-// runnersPerService keeps services small, as at the target: 20 runners each.
+// runnersPerService is the number of runners of each service in the target deployment.
 const runnersPerService = 20
 
-// settle is the time before measuring, longer for larger fleets: the start of
-// some hundred processes on one machine is not what is measured.
-const settle = 4 * time.Second
+// settleTime is the base of the delay before the measurement; measureSize adds 100 ms for
+// each entry VM. It keeps the start of some hundred processes on one machine out of the
+// measurement.
+const settleTime = 4 * time.Second
 
-func (c *controlCommand) size(entries int, network, dir string, binaries fleet.Binaries) error {
+func (c *controlCommand) measureSize(entries int, network, dir string, binaries fleet.Binaries) error {
 	site := plainSite(network, entries, 1)
 	site.ZoneDelay = 0
 	agents := entries * 700 / 320
@@ -85,7 +86,7 @@
 		return err
 	}
 	defer f.Stop()
-	time.Sleep(settle + time.Duration(entries)*100*time.Millisecond)
+	time.Sleep(settleTime + time.Duration(entries)*100*time.Millisecond)
 	before := sampleProcesses(f)
 	deadline := time.Now().Add(c.length)
 	for i := 0; ; i++ {
@@ -102,13 +103,13 @@
 	return nil
 }
 
-// usage is what one process has used so far.
+// usage is the resource usage of one process since its start.
 type usage struct {
 	role     vm.Role
 	cpu      time.Duration
 	resident int64 // bytes
 	heap     int64 // bytes in use
-	sent     int64 // bytes sent and received on links and probes
+	traffic  int64 // bytes transferred on links and, for entry VMs, in probes
 }
 
 func sampleProcesses(f *fleet.Fleet) map[vm.ID]usage {
@@ -116,13 +117,13 @@
 	for _, v := range f.VMs() {
 		u := processUsage(f.Process(v.ID).PID())
 		u.role = v.Role
-		u.sent, u.heap = processTraffic(f.DebugAddress(v.ID))
+		u.traffic, u.heap = processTraffic(f.DebugAddress(v.ID))
 		out[v.ID] = u
 	}
 	return out
 }
 
-// clockTicks is the kernel's unit of processor time in /proc, per second.
+// clockTicks is the number of clock ticks, the unit of processor time in /proc, in a second.
 const clockTicks = 100
 
 func processUsage(pid int) usage {
@@ -140,7 +141,7 @@
 	return u
 }
 
-func processTraffic(address string) (sent, heap int64) {
+func processTraffic(address string) (traffic, heap int64) {
 	resp, err := http.Get("http://" + address + "/debug/vars")
 	if err != nil {
 		return 0, 0
@@ -161,7 +162,7 @@
 	n := 0
 	var cpu, mostCPU time.Duration
 	var busiest vm.ID
-	var resident, mostResident, heap, sent int64
+	var resident, mostResident, heap, traffic int64
 	for id, a := range after {
 		if a.role != role {
 			continue
@@ -174,9 +175,9 @@
 		resident += a.resident
 		mostResident = max(mostResident, a.resident)
 		heap += a.heap
-		sent += a.sent - before[id].sent
+		traffic += a.traffic - before[id].traffic
 	}
 	per := func(x int64) float64 { return float64(x) / float64(max(1, n)) }
 	return fmt.Sprintf("%.2f%% of a core (most %.1f%%, %s), %.1f MB resident (most %.1f), heap %.1f MB, %.1f KB/s",
-		100*float64(cpu)/float64(length)/float64(max(1, n)), 100*float64(mostCPU)/float64(length), busiest, per(resident)/1e6, float64(mostResident)/1e6, per(heap)/1e6, per(sent)/1e3/length.Seconds())
+		100*float64(cpu)/float64(length)/float64(max(1, n)), 100*float64(mostCPU)/float64(length), busiest, per(resident)/1e6, float64(mostResident)/1e6, per(heap)/1e6, per(traffic)/1e3/length.Seconds())
 }
--- a/standin/cmd/experiment/faults.go
+++ b/standin/cmd/experiment/faults.go
@@ -15,8 +15,8 @@
 	"baywall.example/standin/load"
 )
 
-// faultsCommand sends load under random faults, one fleet a seed, and counts
-// broken promises.
+// faultsCommand sends load under random faults, with one fleet per seed, and counts violated
+// guarantees.
 type faultsCommand struct {
 	site     string
 	seeds    int
@@ -24,7 +24,7 @@
 	duration time.Duration
 	graceful bool
 	rate     float64
-	keep     string
+	keepDir  string
 	verbose  bool
 }
 
@@ -42,12 +42,12 @@
 	f.DurationVar(&c.duration, "duration", 9*time.Second, "length of the load for each seed")
 	f.BoolVar(&c.graceful, "graceful", false, "only faults under which nothing may be cut")
 	f.Float64Var(&c.rate, "rate", 1, "factor on the site's load")
-	f.StringVar(&c.keep, "dir", "", "folder that keeps settings and logs; default: a temporary one")
+	f.StringVar(&c.keepDir, "dir", "", "folder that keeps settings and logs; default: a temporary one")
 	f.BoolVar(&c.verbose, "v", false, "print each fault")
 }
 
 func (c *faultsCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return withBinaries(c.keep, func(dir string, b fleet.Binaries) error { return c.run(ctx, dir, b) })
+	return withBinaries(c.keepDir, func(dir string, b fleet.Binaries) error { return c.run(ctx, dir, b) })
 }
 
 func (c *faultsCommand) run(ctx context.Context, dir string, binaries fleet.Binaries) error {
@@ -57,7 +57,7 @@
 	}
 	site.AddressTTL = time.Second
 	site.DrainLinger = 1500 * time.Millisecond
-	if c.graceful { // restarts wait until tickets have expired
+	if c.graceful { // a graceful restart waits until tickets have expired
 		site.TicketTTL = 1500 * time.Millisecond
 		site.AgentLinger = 2 * time.Second
 	}
@@ -82,7 +82,7 @@
 		bad += sum.Cut + sum.Unknown
 	}
 	if bad > 0 {
-		return errBroken
+		return errViolation
 	}
 	return nil
 }
@@ -127,5 +127,5 @@
 
 func describe(r *load.Report) string {
 	return fmt.Sprintf("requests %d, answered %d, not-run %d, unknown %d (%.2f%%), cut %d, resumed %d, doubled %d, crossed %d, false not-run %d, without run %d",
-		r.Requests, r.Answered, r.NotRun, r.Unknown, 100*float64(r.Unknown)/float64(max(1, r.Requests)), r.Cut, r.Resumed, r.Doubled, r.Crossed, r.FalseNotRun, r.Lost)
+		r.Requests, r.Answered, r.NotRun, r.Unknown, 100*float64(r.Unknown)/float64(max(1, r.Requests)), r.Cut, r.Resumed, r.Duplicated, r.WrongAnswer, r.FalseNotRun, r.WithoutRun)
 }
--- a/standin/cmd/experiment/limits.go
+++ b/standin/cmd/experiment/limits.go
@@ -13,8 +13,8 @@
 	"baywall.example/entry/limits"
 )
 
-// limitsCommand replays skewed demand on 8 entry VMs, through a kill, a pause
-// and a partition, in simulated time, with the real grantor and holder.
+// limitsCommand simulates skewed demand on 8 entry VMs under a kill, a pause and a partition,
+// in simulated time, with the grantor and holder of package limits.
 type limitsCommand struct {
 	limit int
 	seed  uint64
@@ -34,22 +34,22 @@
 const (
 	limitVMs  = 8
 	limitTick = 5 * time.Millisecond
-	// detection is how long a fault stays unnoticed by the others.
+	// detection is the time until the other VMs detect a fault.
 	detection = 900 * time.Millisecond
-	// meanService is the mean time of a request.
+	// meanService is the mean duration of a request.
 	meanService = 200 * time.Millisecond
 	hotShare    = 0.9
 )
 
-// limitVM is one entry VM of the replay.
+// limitVM is one entry VM of the simulation.
 type limitVM struct {
 	holder  limits.Holder
 	grantor *limits.Grantor
 	dead    bool
 	paused  bool
-	part    int // side of a partition
+	side    int // side of the partition that the VM is on, 0 without one
 	usable  [limitVMs]bool
-	stable  time.Time // since when usable has been the same
+	stable  time.Time // time of the last change of usable
 }
 
 func (c *limitsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
@@ -62,24 +62,24 @@
 			if leased {
 				name = "leased shares"
 			}
-			fmt.Printf("%-28s %-15s overshoot: most %d, %.2f s above the limit; unused share %.1f%%\n", fault, name, r.overshoot, r.above.Seconds(), 100*r.unused/r.wanted)
+			fmt.Printf("%-28s %-15s overshoot: most %d, %.2f s above the limit; unused share %.1f%%\n", fault, name, r.overshoot, r.timeAbove.Seconds(), 100*r.unused/r.wanted)
 		}
 	}
 	return subcommands.ExitSuccess
 }
 
-// limitReplay is one run.
+// limitReplay is one run of the simulation.
 type limitReplay struct {
-	limit  int
-	leased bool
-	rnd    *rand.Rand
-	now    time.Time
-	vms    [limitVMs]*limitVM
-	hot    int
-	lead   int
+	limit        int
+	leased       bool
+	rnd          *rand.Rand
+	now          time.Time
+	vms          [limitVMs]*limitVM
+	hot          int
+	grantorIndex int
 
 	overshoot      int
-	above          time.Duration
+	timeAbove      time.Duration
 	unused, wanted float64
 }
 
@@ -125,24 +125,24 @@
 	active := at >= faultTime && at < 2*faultTime
 	switch fault {
 	case "kill of the grantor":
-		r.kill(r.lead, at)
+		r.kill(r.grantorIndex, at)
 	case "kill of the hot VM":
 		r.kill(r.hot, at)
 	case "pause of the grantor, 10 s":
-		r.vms[r.lead].paused = active
+		r.vms[r.grantorIndex].paused = active
 	case "pause of the hot VM, 10 s":
 		r.vms[r.hot].paused = active
 	case "partition 4/4, 10 s":
 		for i, v := range r.vms {
-			v.part = 0
+			v.side = 0
 			if active && i%2 == 1 {
-				v.part = 1
+				v.side = 1
 			}
 		}
 	}
 }
 
-// kill ends a VM; its requests go with it.
+// kill stops a VM and releases its requests.
 func (r *limitReplay) kill(i int, at time.Duration) {
 	if at < faultTime || r.vms[i].dead {
 		return
@@ -155,10 +155,10 @@
 
 func (r *limitReplay) reaches(i, j int) bool {
 	a, b := r.vms[i], r.vms[j]
-	return !b.dead && !b.paused && a.part == b.part
+	return !b.dead && !b.paused && a.side == b.side
 }
 
-// detect lets every VM notice, some time after a change, whom it reaches.
+// detect updates, once in each detection interval, which VMs every VM can reach.
 func (r *limitReplay) detect(_ string, at time.Duration) {
 	if at%detection >= limitTick {
 		return
@@ -181,7 +181,7 @@
 	if r.leased {
 		base = limits.Base(r.limit, limitVMs)
 		if v.holder.Due(r.now) {
-			r.ask(i, v)
+			r.requestShare(i, v)
 		}
 	}
 	for v.holder.Running() < r.demand(i) {
@@ -191,11 +191,11 @@
 		if !r.leased || !v.holder.WantsMore(r.now) {
 			return
 		}
-		r.ask(i, v)
+		r.requestShare(i, v)
 	}
 }
 
-// demand is how many requests a VM's callers would like to have running.
+// demand is the number of concurrent requests that a VM's callers want.
 func (r *limitReplay) demand(i int) int {
 	total := 1.2 * float64(r.limit)
 	if i == r.hot {
@@ -204,14 +204,14 @@
 	return int((1 - hotShare) * total / (limitVMs - 1))
 }
 
-func (r *limitReplay) ask(i int, v *limitVM) {
+func (r *limitReplay) requestShare(i int, v *limitVM) {
 	a := v.holder.Ask(vm.ID(fmt.Sprint(i)), r.now)
-	grantor := r.lead
+	grantor := r.grantorIndex
 	for !v.usable[grantor] {
 		grantor = (grantor + 1) % limitVMs
 	}
 	if grantor != i && !r.reaches(i, grantor) {
-		return // no answer
+		return // the grantor cannot be reached
 	}
 	g := r.vms[grantor]
 	reachable := 0
@@ -224,7 +224,8 @@
 	v.holder.Granted(g.grantor.Handle(a, r.limit, fleet, r.now), r.now)
 }
 
-// complete ends requests, on paused VMs too: their backend servers go on.
+// complete ends requests at random, also those of paused VMs, whose backend servers continue
+// to run.
 func (r *limitReplay) complete(v *limitVM) {
 	for range v.holder.Running() {
 		if r.rnd.Float64() < float64(limitTick)/float64(meanService) {
@@ -244,7 +245,7 @@
 	wanted = min(wanted, r.limit)
 	if over := running - r.limit; over > 0 {
 		r.overshoot = max(r.overshoot, over)
-		r.above += limitTick
+		r.timeAbove += limitTick
 	}
 	r.wanted += float64(wanted)
 	r.unused += float64(max(0, wanted-running))
--- a/standin/cmd/experiment/main.go
+++ b/standin/cmd/experiment/main.go
@@ -1,6 +1,6 @@
-// Command experiment starts whole sites on this machine, with the real
-// programs and stand-ins for everything around them, and measures them. It is
-// not part of the product.
+// Command experiment runs measurements of whole sites on one machine, with the real programs
+// and with stand-ins for the platform and the backend servers, and simulations of parts of
+// the product. It is not part of the product.
 package main
 
 import (
--- a/standin/cmd/experiment/maps.go
+++ b/standin/cmd/experiment/maps.go
@@ -16,8 +16,8 @@
 	"baywall.example/standin/fleet"
 )
 
-// mapsCommand replays the popularity traces of both sites and compares ways to
-// plan expert maps.
+// mapsCommand compares planners of expert maps on the generated popularity traces of both
+// example sites.
 type mapsCommand struct {
 	periods int
 }
@@ -30,14 +30,14 @@
 	f.IntVar(&c.periods, "periods", 120, "planning periods of a trace")
 }
 
-// trace is a site's popularity in steps, and its price of a move.
+// trace describes the popularity of experts at a site and the cost of moving an expert.
 type trace struct {
 	name  string
 	site  fleet.GroupSite
 	price float64
 }
 
-// stepsPerPeriod is how many engine steps lie between two plans.
+// stepsPerPeriod is the number of engine steps between two plans.
 const stepsPerPeriod = 1000
 
 func (c *mapsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
@@ -63,12 +63,12 @@
 // planner returns the map for the next period.
 type planner func(expertmap.Input) (expertmap.Result, error)
 
-// outcome sums one planner's run up.
+// outcome is the summary of one planner's run.
 type outcome struct {
 	skews    []float64
 	moves    int
 	switches int
-	spent    time.Duration
+	planTime time.Duration
 }
 
 func (o *outcome) mean() float64 {
@@ -110,13 +110,13 @@
 			repackMoves = o.moves
 		}
 		fmt.Printf("  %-18s skew mean %.4f, p99 %.4f; moves %d (%.1f%% of repack), switches %d; plan %.1f ms; lower bound %.4f\n",
-			p.name, o.mean(), o.p99(), o.moves, 100*float64(o.moves)/float64(max(1, repackMoves)), o.switches, ms(o.spent)/float64(c.periods), bound)
+			p.name, o.mean(), o.p99(), o.moves, 100*float64(o.moves)/float64(max(1, repackMoves)), o.switches, ms(o.planTime)/float64(c.periods), bound)
 	}
 	return nil
 }
 
-// replay runs one planner over the trace. Plans see the noisy counts of past
-// periods; skews are those of the true popularity.
+// replay runs one planner over the trace. The planner gets noisy counts of past periods; the
+// skews are computed from the true popularity.
 func (c *mapsCommand) replay(t trace, s expertmap.Shape, plan planner) (o outcome, bound float64, err error) {
 	popularity := t.site.Popularity(s)
 	rnd := rand.New(rand.NewPCG(11, 0))
@@ -124,7 +124,7 @@
 	if err != nil {
 		return o, 0, err
 	}
-	const samples = 10 // of the popularity in a period
+	const samples = 10 // samples of the popularity in each period
 	var smoothed expertmap.Counts
 	for period := range c.periods {
 		counts := expertmap.NewCounts(s)
@@ -147,7 +147,7 @@
 		if err != nil {
 			return o, 0, err
 		}
-		o.spent += time.Since(began)
+		o.planTime += time.Since(began)
 		if res.Moves > 0 {
 			m = res.Map
 			o.moves += res.Moves
@@ -157,10 +157,10 @@
 	return o, bound, nil
 }
 
-// tokensPerSample is how many tokens a layer sees between two samples.
+// tokensPerSample is the number of tokens that a layer processes between two samples.
 const tokensPerSample = 200_000
 
-// addNoisy adds sampled counts: the expected tokens with Poisson-like noise.
+// addNoisy adds sampled counts: the expected number of tokens with Poisson-like noise.
 func addNoisy(counts, shares expertmap.Counts, rnd *rand.Rand) {
 	for l := range shares {
 		for e, share := range shares[l] {
--- a/standin/cmd/experiment/outage.go
+++ b/standin/cmd/experiment/outage.go
@@ -12,12 +12,13 @@
 	"baywall.example/standin/outage"
 )
 
-// outageCommand compares who waits, is refused and goes first when a group has stood.
+// outageCommand compares policies that decide which requests wait, are refused and run first
+// after a group of ranks has made no steps for some seconds.
 type outageCommand struct {
-	seeds int
-	stand time.Duration
-	rate  float64
-	plot  string
+	seeds        int
+	outageLength time.Duration
+	rate         float64
+	plot         string
 }
 
 func (*outageCommand) Name() string { return "outage" }
@@ -32,7 +33,7 @@
 func (c *outageCommand) SetFlags(f *flag.FlagSet) {
 	usual := outage.Crash(0)
 	f.IntVar(&c.seeds, "seeds", 5, "plays of each policy, from 1")
-	f.DurationVar(&c.stand, "stand", usual.Stand, "for how long the group makes no passes, from 0s to 10s")
+	f.DurationVar(&c.outageLength, "stand", usual.Stand, "for how long the group makes no passes, from 0s to 10s")
 	f.Float64Var(&c.rate, "rate", usual.Rate, "requests a second, above 0")
 	f.StringVar(&c.plot, "plot", "", "also write a picture to this file, as SVG")
 }
@@ -45,8 +46,8 @@
 	case c.rate <= 0:
 		fmt.Fprintf(os.Stderr, "outage: -rate: %g, allowed: above 0\n", c.rate)
 		return subcommands.ExitUsageError
-	case c.stand < 0 || c.stand > 10*time.Second:
-		fmt.Fprintf(os.Stderr, "outage: -stand: %s, allowed: 0s to 10s\n", c.stand)
+	case c.outageLength < 0 || c.outageLength > 10*time.Second:
+		fmt.Fprintf(os.Stderr, "outage: -stand: %s, allowed: 0s to 10s\n", c.outageLength)
 		return subcommands.ExitUsageError
 	}
 	if err := c.run(); err != nil {
@@ -59,7 +60,7 @@
 func (c *outageCommand) run() error {
 	load := func(seed uint64) outage.Load {
 		l := outage.Crash(seed)
-		l.Stand, l.Rate = c.stand, c.rate
+		l.Stand, l.Rate = c.outageLength, c.rate
 		return l
 	}
 	result := outage.Compare(load, outage.Policies(), c.seeds)
--- a/standin/cmd/experiment/overhead.go
+++ b/standin/cmd/experiment/overhead.go
@@ -19,13 +19,13 @@
 	"baywall.example/standin/plain"
 )
 
-// overheadCommand compares calls through the path with calls of the runner
-// itself, in alternating rounds of one run.
+// overheadCommand compares calls through an entry VM and an agent with direct calls of the
+// backend server, in alternating rounds of one run.
 type overheadCommand struct {
 	clients int
 	rounds  int
 	length  time.Duration
-	keep    string
+	keepDir string
 	entry   string
 	agent   string
 }
@@ -41,7 +41,7 @@
 	f.IntVar(&c.clients, "clients", 32, "concurrent clients in the throughput rounds")
 	f.IntVar(&c.rounds, "rounds", 4, "rounds of each kind")
 	f.DurationVar(&c.length, "length", 2*time.Second, "length of a round")
-	f.StringVar(&c.keep, "dir", "", "folder that keeps settings and logs; default: a temporary one")
+	f.StringVar(&c.keepDir, "dir", "", "folder that keeps settings and logs; default: a temporary one")
 	f.StringVar(&c.entry, "entry", "", "entry VM program to measure; default: built from this tree")
 	f.StringVar(&c.agent, "agent", "", "agent program to measure; default: built from this tree")
 }
@@ -54,7 +54,7 @@
 }
 
 func (c *overheadCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	dir, cleanup, err := workDir(c.keep)
+	dir, cleanup, err := workDir(c.keepDir)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
@@ -85,7 +85,7 @@
 	return subcommands.ExitSuccess
 }
 
-// measure alternates rounds of direct calls and of calls through the path.
+// measure alternates rounds of direct calls and of calls through entry VM and agent.
 func (c *overheadCommand) measure(ctx context.Context, clients int, direct, through string) (d, t sample) {
 	for range c.rounds {
 		d.add(round(ctx, clients, direct, c.length))
@@ -100,7 +100,7 @@
 		t.failed, ms(t.quantile(0.5)-d.quantile(0.5)), t.perSecond()/d.perSecond())
 }
 
-// sample is the latencies of some rounds.
+// sample contains the latencies of one or more rounds.
 type sample struct {
 	latencies []time.Duration
 	length    time.Duration
@@ -123,7 +123,8 @@
 
 func (s *sample) perSecond() float64 { return float64(len(s.latencies)) / s.length.Seconds() }
 
-// round lets clients call one after the other until the time is over.
+// round runs concurrent clients, each of which sends one call after another for the given
+// time.
 func round(ctx context.Context, clients int, url string, length time.Duration) sample {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients}}
 	defer client.CloseIdleConnections()
--- a/standin/cmd/experiment/plot.go
+++ b/standin/cmd/experiment/plot.go
@@ -12,7 +12,7 @@
 		return err
 	}
 	if err := plot(out); err != nil {
-		_ = out.Close() // the error before says why
+		_ = out.Close() // the error of plot is returned instead
 		return err
 	}
 	return out.Close()
--- a/standin/cmd/experiment/policies.go
+++ b/standin/cmd/experiment/policies.go
@@ -35,7 +35,7 @@
 	f.Float64Var(&c.slow, "slow", 0.5, "speed of the slow runner, 1 = as the others")
 }
 
-// Shape of the compared load.
+// Parameters of the fleet and its load.
 const (
 	policyRunners  = 16
 	policyBatch    = 4
@@ -43,7 +43,7 @@
 	policyPrompt   = 1024
 	policyTokens   = 20
 	policyPrefixes = 200
-	// policySteps is how many steps a request without a cache hit takes.
+	// policySteps is the number of steps of a request without a cache hit.
 	policySteps = 1 + policyPrompt/256 + policyTokens
 )
 
--- a/standin/cmd/experiment/quickstart.go
+++ b/standin/cmd/experiment/quickstart.go
@@ -17,12 +17,11 @@
 	"baywall.example/standin/load"
 )
 
-// quickstartCommand starts each site in turn, sends it mixed load and prints a
-// table.
+// quickstartCommand starts one site after another, sends it mixed load and prints a table.
 type quickstartCommand struct {
 	sites    string
 	duration time.Duration
-	keep     string
+	keepDir  string
 }
 
 func (*quickstartCommand) Name() string { return "quickstart" }
@@ -37,7 +36,7 @@
 func (c *quickstartCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.sites, "sites", "examples/sfax.yaml,examples/lisbon.yaml", "site files")
 	f.DurationVar(&c.duration, "duration", 12*time.Second, "length of the load on each site")
-	f.StringVar(&c.keep, "dir", "", "folder that keeps settings and logs; default: a temporary one")
+	f.StringVar(&c.keepDir, "dir", "", "folder that keeps settings and logs; default: a temporary one")
 }
 
 // row is one line of the table.
@@ -49,7 +48,7 @@
 
 func (c *quickstartCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	fmt.Println("building baywall and baywall-agent ...")
-	return withBinaries(c.keep, func(dir string, b fleet.Binaries) error { return c.run(ctx, dir, b) })
+	return withBinaries(c.keepDir, func(dir string, b fleet.Binaries) error { return c.run(ctx, dir, b) })
 }
 
 func (c *quickstartCommand) run(ctx context.Context, dir string, binaries fleet.Binaries) error {
@@ -95,12 +94,12 @@
 	first := <-early
 	for name, s := range groupStats(f) {
 		r.groups += fmt.Sprintf("%s: mean skew %.3f in the first half, %.3f in the second; map version %d; %d steps with mixed maps, %d ms held by switches; ",
-			name, first[name].MeanSkew, s.MeanSkew, s.Version, s.Mixed, first[name].Held+s.Held)
+			name, first[name].MeanSkew, s.MeanSkew, s.Version, s.Mixed, first[name].HeldMillis+s.HeldMillis)
 	}
 	return r, nil
 }
 
-// groupStats returns the measures of all groups since the last call.
+// groupStats returns the measurements of all groups since the last call.
 func groupStats(f *fleet.Fleet) map[string]engine.Stats {
 	out := make(map[string]engine.Stats)
 	for name, g := range f.Groups {
@@ -109,8 +108,8 @@
 	return out
 }
 
-// Mixed returns the load of a site: streamed answers of its engines, and
-// documents of its plain services, some of which may not be asked for twice.
+// Mixed returns the load for a site: streamed answers of its engines and documents of its
+// plain services, some of which are not idempotent.
 func Mixed(site fleet.Site) []load.Workload {
 	var teams []string
 	for name := range site.Teams {
@@ -135,9 +134,9 @@
 	for _, r := range rows {
 		p := r.report
 		ms := func(q float64) float64 { return float64(p.First.ValueAtQuantile(q)) / 1000 }
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", r.site, p.Requests, p.Answered, p.NotRun, p.Unknown, p.Cut, p.Doubled, p.Crossed, p.FalseNotRun, ms(50), ms(99))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", r.site, p.Requests, p.Answered, p.NotRun, p.Unknown, p.Cut, p.Duplicated, p.WrongAnswer, p.FalseNotRun, ms(50), ms(99))
 		if p.Violations() > 0 || p.Answered == 0 {
-			err = errBroken
+			err = errViolation
 		}
 	}
 	w.Flush()
--- a/standin/cmd/experiment/recovery.go
+++ b/standin/cmd/experiment/recovery.go
@@ -15,8 +15,8 @@
 	"baywall.example/standin/load"
 )
 
-// recoveryCommand measures how long after a fault the first caller notices,
-// and after which time callers notice nothing any more.
+// recoveryCommand measures how long after the start of a fault callers still get failures or
+// slow answers.
 type recoveryCommand struct {
 	seeds int
 }
@@ -29,10 +29,10 @@
 	f.IntVar(&c.seeds, "seeds", 5, "repetitions of each fault")
 }
 
-// recoveryFault is a fault that is put in place and taken away again.
+// recoveryFault is a fault that is injected and later reverted.
 type recoveryFault struct {
 	name   string
-	inject func(f *fleet.Fleet, victim int) (mend func())
+	inject func(f *fleet.Fleet, victim int) (revert func())
 }
 
 func recoveryFaults() []recoveryFault {
@@ -69,8 +69,8 @@
 	}
 }
 
-// cutZone cuts the links between one availability zone and the others; callers
-// still reach all entry VMs.
+// cutZone partitions one availability zone from the others; callers still reach all entry
+// VMs.
 func cutZone(f *fleet.Fleet, i int) func() {
 	zone := f.Site.Zones[i%len(f.Site.Zones)]
 	var in, out []string
@@ -86,11 +86,11 @@
 }
 
 const (
-	// faultAt and mendAt are when a fault begins and ends within a run.
-	faultAt = 2 * time.Second
-	mendAt  = 6 * time.Second
-	runTime = 9 * time.Second
-	// slowCall is when a caller has noticed something.
+	// faultAt and revertAt are the times in a run at which a fault starts and ends.
+	faultAt  = 2 * time.Second
+	revertAt = 6 * time.Second
+	runTime  = 9 * time.Second
+	// slowCall is the latency above which a caller counts as disturbed.
 	slowCall = 200 * time.Millisecond
 )
 
@@ -120,9 +120,9 @@
 		began := time.Now()
 		go func() {
 			time.Sleep(faultAt)
-			mend := fault.inject(f, seed)
-			time.Sleep(mendAt - faultAt)
-			mend()
+			revert := fault.inject(f, seed)
+			time.Sleep(revertAt - faultAt)
+			revert()
 		}()
 		report := load.Run(ctx, load.NewCaller(f.CallerIP(), f.Entries()), f.Ledger, load.Options{
 			Seed: uint64(1000 + seed), Duration: runTime,
@@ -147,5 +147,5 @@
 	slices.Sort(disturbed)
 	q := func(p float64) float64 { return disturbed[int(p*float64(len(disturbed)-1))].Seconds() }
 	fmt.Printf("%-16s requests %d, failed %d, slower than %s %d; callers disturbed until p50 %.2f s, most %.2f s after the fault (which ends after %s)\n",
-		fault.name, requests, failed, slowCall, slow, q(0.5), q(1), mendAt-faultAt)
+		fault.name, requests, failed, slowCall, slow, q(0.5), q(1), revertAt-faultAt)
 }
--- a/standin/cmd/experiment/run.go
+++ b/standin/cmd/experiment/run.go
@@ -11,13 +11,13 @@
 	"baywall.example/standin/fleet"
 )
 
-// errBroken means that a run broke a promise; what it printed says which.
-var errBroken = errors.New("a promise was broken")
+// errViolation means that a run violated a guarantee; its printed counts say which one.
+var errViolation = errors.New("a guarantee was violated")
 
-// withBinaries builds both programs into a folder, a temporary one unless keep
-// names one, and runs the experiment with them.
-func withBinaries(keep string, run func(dir string, b fleet.Binaries) error) subcommands.ExitStatus {
-	dir, cleanup, err := workDir(keep)
+// withBinaries builds both programs into the directory keepDir, or into a temporary one if
+// keepDir is empty, and runs the experiment with them.
+func withBinaries(keepDir string, run func(dir string, b fleet.Binaries) error) subcommands.ExitStatus {
+	dir, cleanup, err := workDir(keepDir)
 	if err == nil {
 		defer cleanup()
 		err = buildAndRun(dir, run)
@@ -37,9 +37,9 @@
 	return run(dir, b)
 }
 
-func workDir(keep string) (string, func(), error) {
-	if keep != "" {
-		return keep, func() {}, os.MkdirAll(keep, 0o755)
+func workDir(keepDir string) (string, func(), error) {
+	if keepDir != "" {
+		return keepDir, func() {}, os.MkdirAll(keepDir, 0o755)
 	}
 	dir, err := os.MkdirTemp("", "baywall-")
 	return dir, func() { _ = os.RemoveAll(dir) }, err
--- a/standin/cmd/experiment/spread.go
+++ b/standin/cmd/experiment/spread.go
@@ -18,8 +18,8 @@
 	"baywall.example/standin/load"
 )
 
-// spreadCommand measures how fast changes of configuration and of the list of
-// VMs are in force on every process, and what that costs the platform.
+// spreadCommand measures how long changes of the configuration and of the list of VMs take to
+// be in force in every process, and how many platform reads they cause.
 type spreadCommand struct {
 	changes int
 	idle    time.Duration
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// plainSite is a site of one plain service over three availability zones.
+// plainSite returns a site with one plain service in three availability zones.
 func plainSite(network string, entries, agents int) fleet.Site {
 	return fleet.Site{
 		Name: "spread", Network: network, Zones: []string{"a", "b", "c"}, ZoneDelay: 1500 * time.Microsecond,
@@ -83,12 +83,12 @@
 		all = append(all, a)
 	}
 	perChange, _ := f.Platform.Calls()
-	leaving, before := c.leave(ctx, f)
+	leaving, before := c.publishLeaving(ctx, f)
 	slices.Sort(entries)
 	slices.Sort(all)
 	q := func(d []time.Duration, p float64) float64 { return ms(d[int(p*float64(len(d)-1))]) }
 	fmt.Printf("%d entry VMs, %d agents: in force on every process p50 %.0f ms, p99 %.0f ms (entry VMs p99 %.0f ms); platform reads idle %.2f/s, per change %.1f, over the cap %d; last new work on %d leaving backend servers at most %.0f ms after they were published (%d requests before)\n",
-		site.EntryVMs, site.Services[0].Runners, q(all, 0.5), q(all, 0.99), q(entries, 0.99), idleRate, float64(perChange-after)/float64(c.changes), limited, leavers, ms(leaving), before)
+		site.EntryVMs, site.Services[0].Runners, q(all, 0.5), q(all, 0.99), q(entries, 0.99), idleRate, float64(perChange-after)/float64(c.changes), limited, leavingServers, ms(leaving), before)
 	return nil
 }
 
@@ -108,8 +108,8 @@
 	return revision
 }
 
-// awaitEverywhere returns after what time every entry VM, and every process,
-// had the revision.
+// awaitEverywhere waits until every process has the revision. It returns the times after
+// which all entry VMs, and all processes, had it.
 func awaitEverywhere(f *fleet.Fleet, revision uint64, since time.Time) (entries, all time.Duration) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -138,20 +138,20 @@
 }
 
 const (
-	leavers   = 5
-	leaveGap  = time.Second
-	leaveRate = 1500 // requests a second
+	leavingServers = 5
+	leaveGap       = time.Second
+	leaveRate      = 1500 // requests a second
 )
 
-// leave publishes some backend servers as leaving, one after the other, under
-// load. It returns how long after that one got its last new work, and the
-// requests they had got before.
-func (c *spreadCommand) leave(ctx context.Context, f *fleet.Fleet) (longest time.Duration, before int) {
+// publishLeaving publishes some backend servers as leaving, one after another, under
+// load. It returns the longest time from the publication to the last new request at a leaving
+// backend server, and the number of requests that these backend servers got before.
+func (c *spreadCommand) publishLeaving(ctx context.Context, f *fleet.Fleet) (longest time.Duration, before int) {
 	published := make(map[string]time.Time)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for i := range leavers {
+		for i := range leavingServers {
 			time.Sleep(leaveGap)
 			id := vm.ID(fmt.Sprintf("plain-%d", i+1))
 			published[f.Server(id)] = time.Now()
@@ -159,7 +159,7 @@
 		}
 	}()
 	load.Run(ctx, load.NewCaller(f.CallerIP(), f.Entries()), f.Ledger, load.Options{
-		Seed: 3, Duration: (leavers + 3) * leaveGap,
+		Seed: 3, Duration: (leavingServers + 3) * leaveGap,
 		Workloads: []load.Workload{{Service: "plain", Teams: []string{"t"}, Rate: leaveRate}},
 	})
 	<-done
--- a/standin/e2e/quarantine_test.go
+++ b/standin/e2e/quarantine_test.go
@@ -11,24 +11,25 @@
 	"baywall.example/standin/engine"
 )
 
-// A request that ends the engine which runs it was sent to as many agents as there are
-// attempts, by each entry VM that it came to, for as long as its caller repeated it: an
-// agent said engine-failed each time, and nobody remembered.
-func TestARequestThatEndsEnginesIsRefusedByAllEntryVMs(t *testing.T) {
+// A request that crashes the engine that runs it must be quarantined on all entry VMs. Without
+// the quarantine, every entry VM that gets the request retries it on one agent after another
+// until the attempts are used up, and again each time the caller repeats it: the agents report
+// engine-failed, but no entry VM remembers it.
+func TestRequestThatCrashesEnginesIsRefusedByAllEntryVMs(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
 	send := func(entry int) *http.Response {
-		resp, _ := openStream(t, f.Entries()[entry], engine.LethalWork, 4)
+		resp, _ := openStream(t, f.Entries()[entry], engine.CrashWork, 4)
 		resp.Body.Close()
 		return resp
 	}
-	for i := 0; f.Ledger.Runs(engine.LethalWork) < 3; i++ {
+	for i := 0; f.Ledger.Runs(engine.CrashWork) < 3; i++ {
 		is.True(i < 6)
 		send(i % len(f.Entries()))
-		time.Sleep(300 * time.Millisecond) // until the engines are back
+		time.Sleep(300 * time.Millisecond) // until the engines have restarted
 	}
-	time.Sleep(2 * time.Second) // until all have heard
-	before := f.Ledger.Runs(engine.LethalWork)
+	time.Sleep(2 * time.Second) // until all entry VMs have received the report
+	before := f.Ledger.Runs(engine.CrashWork)
 	for entry := range f.Entries() {
 		resp := send(entry)
 		is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
@@ -38,5 +39,5 @@
 		is.Equal(other.StatusCode, http.StatusOK)
 		other.Body.Close()
 	}
-	is.Equal(f.Ledger.Runs(engine.LethalWork), before)
+	is.Equal(f.Ledger.Runs(engine.CrashWork), before)
 }
--- a/standin/engine/group.go
+++ b/standin/engine/group.go
@@ -1,12 +1,12 @@
-// Package engine is a stand-in for a model engine: ranks of an expert-parallel
-// group that step together, batch continuously and stream tokens.
+// Package engine is a stand-in for a model engine: ranks of an expert-parallel group that
+// step together, batch requests continuously and stream tokens.
 //
-// Time model: a step takes the base time, scaled by the skew of the slowest
-// rank under the expert map in use and the present popularity of experts; all
-// ranks of a group advance together or not at all. A request first needs
-// prefill steps, fewer if its prompt prefix is cached, and then emits one token
-// a step. A rank runs up to a number of requests at a time; the others wait by
-// priority. Loads are reported with a lag.
+// Time model: a step takes the base duration, multiplied by the skew of the slowest rank
+// under the active expert map and the current popularity of experts, and by the slowdown
+// that slow ranks cause. All ranks of a group advance together or not at all. A request
+// first needs prefill steps, fewer if its prompt prefix is cached, and then emits one token
+// per step. A rank runs a limited number of requests at a time; the others wait in a queue
+// ordered by priority. Load reports lag behind the load.
 package engine
 
 import (
@@ -16,49 +16,49 @@
 	"baywall.example/core/expertmap"
 )
 
-// Options describe a group.
+// Options configure a group.
 type Options struct {
 	Shape    expertmap.Shape
-	BaseStep time.Duration // of a perfectly balanced step
-	Batch    int           // requests a rank runs at a time
-	Cache    int           // prompt prefixes a rank caches
-	LoadLag  time.Duration // of load reports
-	Fenced   bool          // refuse orders with old fencing numbers
-	// LoadTime is how long one expert takes to load; the weight store serves
-	// the ranks of a group one after the other.
+	BaseStep time.Duration // duration of a perfectly balanced step
+	Batch    int           // maximum number of requests that a rank runs at a time
+	Cache    int           // number of prompt prefixes that a rank caches
+	LoadLag  time.Duration // minimum interval between updates of a load report
+	Fenced   bool          // reject orders with outdated fencing numbers
+	// LoadTime is the time to load one expert; the weight store serves the ranks of
+	// a group one at a time.
 	LoadTime time.Duration
 }
 
-// Popularity returns the share of tokens of each expert of each layer at a
-// step; the shares of a layer add up to 1.
+// Popularity returns the share of tokens that each expert of each layer gets at a step; the
+// shares of a layer add up to 1.
 type Popularity func(step uint64) expertmap.Counts
 
-// Group is a set of ranks in lock-step. It is safe for concurrent use.
+// Group is a set of ranks that advance in lockstep. It is safe for concurrent use.
 type Group struct {
-	opts       Options
-	popularity Popularity
-	store      sync.Mutex // the weight store serves one rank at a time
-
-	mu    sync.Mutex
-	step  uint64
-	ranks []*Rank
-	mixed int
-	skew  float64
-	pace  float64 // slowdown of the mean by slow ranks, 1 = none
-	skews []float64
-	holds int
-	stop  chan struct{}
-	ended chan struct{}
+	opts        Options
+	popularity  Popularity
+	weightStore sync.Mutex // held while the weight store serves a rank
+
+	mu        sync.Mutex
+	step      uint64
+	ranks     []*Rank
+	mixed     int
+	skew      float64
+	slowdown  float64 // factor on the step time: ranks / sum of their speeds, 1 = none
+	skews     []float64
+	heldPolls int
+	stop      chan struct{}
+	done      chan struct{}
 }
 
-// NewGroup returns a group that runs the initial map at version 1.
+// NewGroup returns a group whose active map is the initial map, with version 1.
 func NewGroup(opts Options, popularity Popularity) (*Group, error) {
 	m, err := expertmap.Initial(opts.Shape)
 	if err != nil {
 		return nil, err
 	}
 	m.Version = 1
-	g := &Group{opts: opts, popularity: popularity, stop: make(chan struct{}), ended: make(chan struct{})}
+	g := &Group{opts: opts, popularity: popularity, stop: make(chan struct{}), done: make(chan struct{})}
 	for i := range opts.Shape.Ranks {
 		g.ranks = append(g.ranks, newRank(g, i, m))
 	}
@@ -68,17 +68,17 @@
 // Rank returns one rank.
 func (g *Group) Rank(i int) *Rank { return g.ranks[i] }
 
-// Start begins to step.
+// Start starts the step loop.
 func (g *Group) Start() { go g.run() }
 
-// Stop ends stepping.
+// Stop stops the step loop and waits for its end.
 func (g *Group) Stop() {
 	close(g.stop)
-	<-g.ended
+	<-g.done
 }
 
 func (g *Group) run() {
-	defer close(g.ended)
+	defer close(g.done)
 	next := time.Now()
 	for {
 		d := g.advance()
@@ -94,18 +94,19 @@
 	}
 }
 
-// heldPause is how long a group waits before it looks again whether it may
-// begin the next step.
-const heldPause = time.Millisecond
+// heldPollInterval is how long a group waits before it checks again whether the next step
+// may begin.
+const heldPollInterval = time.Millisecond
 
-// advance runs one step and returns how long it takes.
+// advance runs one step, if no rank holds it or is stalled, and returns the time until the
+// next call.
 func (g *Group) advance() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, r := range g.ranks {
 		if r.stalled || r.hold != 0 && r.hold == g.step {
-			g.holds++
-			return heldPause
+			g.heldPolls++
+			return heldPollInterval
 		}
 	}
 	tokens := 0
@@ -123,7 +124,7 @@
 		r.runStep()
 	}
 	g.step++
-	return time.Duration(float64(g.opts.BaseStep) * g.skew * g.pace)
+	return time.Duration(float64(g.opts.BaseStep) * g.skew * g.slowdown)
 }
 
 func sum(xs []float64) float64 {
@@ -134,7 +135,7 @@
 	return total
 }
 
-// account computes the step's skew and adds its tokens to the counts.
+// account computes the step's skew and slowdown, and adds its tokens to the counts.
 func (g *Group) account(tokens int) {
 	shares := g.popularity(g.step)
 	speeds := make([]float64, len(g.ranks))
@@ -142,12 +143,12 @@
 		speeds[i] = r.speed
 	}
 	g.skew = expertmap.Skew(g.ranks[0].active, shares, g.opts.Shape.Slots, speeds)
-	g.pace = float64(len(speeds)) / sum(speeds)
+	g.slowdown = float64(len(speeds)) / sum(speeds)
 	if tokens == 0 {
 		return
 	}
 	g.skews = append(g.skews, g.skew)
-	counts := g.ranks[0].counts // every token is counted once, on rank 0
+	counts := g.ranks[0].counts // rank 0 counts every token of the group
 	for l := range shares {
 		for e, share := range shares[l] {
 			counts[l][e] += share * float64(tokens)
@@ -155,23 +156,24 @@
 	}
 }
 
-// Stats are what a run measures.
+// Stats are measurements of a group.
 type Stats struct {
-	Steps, Mixed int
-	Held         int // ms that the group waited at a held step or a stalled rank
+	Steps, Mixed int // Mixed counts adjacent ranks that ran a step with different maps
+	HeldMillis   int // ms that the group waited for a held step or a stalled rank
 	MeanSkew     float64
 	Version      uint64
 }
 
-// Stats returns the measures since the last call.
+// Stats returns the measurements since the last call; Mixed counts since the start of the
+// group.
 func (g *Group) Stats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := Stats{Steps: len(g.skews), Mixed: g.mixed, Held: g.holds, Version: g.ranks[0].active.Version}
+	s := Stats{Steps: len(g.skews), Mixed: g.mixed, HeldMillis: g.heldPolls, Version: g.ranks[0].active.Version}
 	for _, x := range g.skews {
 		s.MeanSkew += x / float64(len(g.skews))
 	}
 	g.skews = nil
-	g.holds = 0
+	g.heldPolls = 0
 	return s
 }
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -16,13 +16,13 @@
 
 // Prompt is the body of a request to the engine.
 type Prompt struct {
-	Work   string `json:"work"`   // the caller's id of the work
-	Prefix string `json:"prefix"` // shared beginning of the prompt
-	Prompt int    `json:"prompt"` // length, in tokens
-	Tokens int    `json:"tokens"` // answer length
+	Work   string `json:"work"`   // work id assigned by the caller
+	Prefix string `json:"prefix"` // beginning that the prompt shares with others
+	Prompt int    `json:"prompt"` // prompt length, in tokens
+	Tokens int    `json:"tokens"` // answer length, in tokens
 }
 
-// maxTokens bounds an answer.
+// maxTokens is the maximum length of an answer.
 const maxTokens = 4096
 
 // Server is the HTTP interface of one rank.
@@ -35,7 +35,7 @@
 	http *http.Server
 }
 
-// Serve listens on the address for one rank.
+// Serve starts the HTTP server of one rank on the address.
 func Serve(address string, r *Rank, l *ledger.Ledger) (*Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -56,29 +56,29 @@
 	s.mu.Lock()
 	s.http = server
 	s.mu.Unlock()
-	go func() { _ = server.Serve(ln) }() // until Close
+	go func() { _ = server.Serve(ln) }() // returns after Close
 }
 
-// Close stops serving and cuts all connections.
+// Close stops serving and closes all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_ = s.http.Close()
 }
 
-// LethalWork is the work under which the process of an engine ends; another one takes its
-// place after lethalDown.
-const LethalWork = "lethal"
+// CrashWork is the id of a work whose execution ends the engine's process. A new process
+// listens on the same address after crashDowntime.
+const CrashWork = "lethal"
 
-const lethalDown = 200 * time.Millisecond
+const crashDowntime = 200 * time.Millisecond
 
-// end ends the engine as its process would.
-func (s *Server) end() {
+// crash simulates the end of the engine's process and the start of a new one.
+func (s *Server) crash() {
 	s.Close()
-	time.Sleep(lethalDown)
+	time.Sleep(crashDowntime)
 	ln, err := net.Listen("tcp", s.address)
 	if err != nil {
-		return // the fleet is stopped
+		return // the fleet has been stopped
 	}
 	s.serve(ln)
 }
@@ -111,7 +111,7 @@
 	_ = json.NewEncoder(w).Encode(state)
 }
 
-// generate streams an answer as server-sent events, one a token.
+// generate streams an answer as server-sent events, one per token.
 func (s *Server) generate(w http.ResponseWriter, r *http.Request) {
 	var p Prompt
 	if err := json.NewDecoder(r.Body).Decode(&p); err != nil || p.Tokens < 1 || p.Tokens > maxTokens {
@@ -119,14 +119,14 @@
 		return
 	}
 	s.ledger.Run(p.Work, s.address)
-	if p.Work == LethalWork {
-		go s.end()
+	if p.Work == CrashWork {
+		go s.crash()
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
 	priority, _ := strconv.Atoi(r.Header.Get(engine.HeaderPriority))
 	j := &job{
-		ctx: r.Context(), priority: priority, prompt: p.Prompt, left: p.Tokens,
+		ctx: r.Context(), priority: priority, prompt: p.Prompt, remaining: p.Tokens,
 		prefix: rendezvous.Hash(p.Prefix), tokens: make(chan int, p.Tokens),
 	}
 	s.rank.submit(j)
--- a/standin/engine/rank.go
+++ b/standin/engine/rank.go
@@ -12,10 +12,10 @@
 	"baywall.example/core/expertmap"
 )
 
-// prefillTokens is how many prompt tokens one prefill step takes.
+// prefillTokens is the number of prompt tokens that one prefill step processes.
 const prefillTokens = 256
 
-// Rank is one rank of a group; its state is guarded by the group's lock.
+// Rank is one rank of a group; Group.mu guards its state.
 type Rank struct {
 	group   *Group
 	index   int
@@ -30,9 +30,9 @@
 
 	active   expertmap.Map
 	loaded   expertmap.Map
-	hold     uint64
-	activate uint64
-	fence    uint64
+	hold     uint64 // step that must not begin until it is released, 0 = none
+	activate uint64 // step at which the loaded map becomes active, 0 = none
+	fence    uint64 // highest fencing number of an order so far
 
 	report   engine.Load
 	reported time.Time
@@ -40,39 +40,39 @@
 
 // job is one request on a rank.
 type job struct {
-	ctx      context.Context
-	priority int
-	prefill  int
-	prompt   int // tokens
-	left     int
-	prefix   uint64
-	tokens   chan int // one number a token, closed at the end
-	next     int
+	ctx       context.Context
+	priority  int
+	prefill   int
+	prompt    int // prompt length, in tokens
+	remaining int // tokens of the answer not generated yet
+	prefix    uint64
+	tokens    chan int // receives the index of each generated token; closed at the end
+	next      int
 }
 
 func newRank(g *Group, index int, m expertmap.Map) *Rank {
 	cache, err := lru.NewLRU[uint64, struct{}](max(1, g.opts.Cache), nil)
 	if err != nil {
-		panic(err) // only a size below 1 fails
+		panic(err) // NewLRU fails only for a size below 1
 	}
 	return &Rank{group: g, index: index, speed: 1, cache: cache, counts: expertmap.NewCounts(g.opts.Shape), active: m.Clone()}
 }
 
-// SetSpeed makes the rank slower or faster; 1 is nominal.
+// SetSpeed sets the speed of the rank; 1 is nominal.
 func (r *Rank) SetSpeed(speed float64) {
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
 	r.speed = speed
 }
 
-// SetStalled stops the rank, and with it its group, or lets it go on.
+// SetStalled stalls the rank, and with it the whole group, or ends the stall.
 func (r *Rank) SetStalled(stalled bool) {
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
 	r.stalled = stalled
 }
 
-// CacheStats returns how many requests found their prefix cached, or not.
+// CacheStats returns the numbers of requests whose prefix was cached and was not cached.
 func (r *Rank) CacheStats() (hits, misses int) {
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
@@ -86,7 +86,7 @@
 	slices.SortStableFunc(r.waiting, func(a, b *job) int { return cmp.Compare(b.priority, a.priority) })
 }
 
-// admit moves waiting jobs into the batch.
+// admit moves waiting jobs into the batch while it has free slots.
 func (r *Rank) admit() {
 	for len(r.waiting) > 0 && len(r.running) < r.group.opts.Batch {
 		j := r.waiting[0]
@@ -103,7 +103,8 @@
 	}
 }
 
-// tokens returns how many tokens the rank's next step computes.
+// tokens admits waiting jobs and returns the number of tokens that the rank's next step
+// computes.
 func (r *Rank) tokens() int {
 	r.admit()
 	n := 0
@@ -119,7 +120,7 @@
 
 // runStep advances every job of the batch by one step.
 func (r *Rank) runStep() {
-	kept := r.running[:0]
+	unfinished := r.running[:0]
 	for _, j := range r.running {
 		if j.ctx.Err() != nil {
 			close(j.tokens)
@@ -129,22 +130,22 @@
 			j.prefill--
 		}
 		if j.prefill == 0 {
-			j.tokens <- j.next // never blocks: the channel holds the whole answer
+			j.tokens <- j.next // never blocks: the channel's buffer has space for the whole answer
 			j.next++
-			j.left--
+			j.remaining--
 		}
-		if j.left == 0 {
+		if j.remaining == 0 {
 			close(j.tokens)
 			continue
 		}
-		kept = append(kept, j)
+		unfinished = append(unfinished, j)
 	}
-	r.running = kept
-	r.note()
+	r.running = unfinished
+	r.updateReport()
 }
 
-// note renews the report once its lag is over.
-func (r *Rank) note() {
+// updateReport updates the load report if the last update is at least LoadLag ago.
+func (r *Rank) updateReport() {
 	if now := time.Now(); now.Sub(r.reported) >= r.group.opts.LoadLag {
 		r.reported = now
 		r.report = engine.Load{
@@ -160,7 +161,8 @@
 	}
 }
 
-// state returns the expert state; the lock is held.
+// state returns the expert state, and resets the counts if it contains them. The caller
+// holds the group's lock.
 func (r *Rank) state(counts bool) engine.ExpertState {
 	s := engine.ExpertState{
 		Fence: r.fence, Step: r.group.step, Active: r.active.Version, Loaded: r.loaded.Version,
@@ -181,7 +183,8 @@
 	return s
 }
 
-// order carries out an order. The message is empty if the engine takes it.
+// order executes an order. The returned message is empty if the order is accepted and says
+// why otherwise.
 func (r *Rank) order(o engine.Order) (engine.ExpertState, string) {
 	if o.Kind == engine.OrderLoad {
 		return r.load(o)
@@ -220,13 +223,13 @@
 
 func (r *Rank) checkFence(o engine.Order) string {
 	if r.group.opts.Fenced && o.Fence < r.fence {
-		return "old fencing number"
+		return "outdated fencing number"
 	}
 	r.fence = max(r.fence, o.Fence)
 	return ""
 }
 
-// load fetches the experts that the rank does not hold yet.
+// load executes a load order: it fetches the experts that the rank does not have yet.
 func (r *Rank) load(o engine.Order) (engine.ExpertState, string) {
 	g := r.group
 	g.mu.Lock()
@@ -236,7 +239,7 @@
 	}
 	if r.hold != 0 || r.activate != 0 {
 		defer g.mu.Unlock()
-		return r.state(false), "held or armed: the map beside the active one is in use"
+		return r.state(false), "held or armed: the loaded map is in use"
 	}
 	next := expertmap.Map{Version: o.Version, Layers: o.Map}
 	if err := next.Validate(g.opts.Shape); err != nil {
@@ -245,9 +248,9 @@
 	}
 	moves := r.missing(next)
 	g.mu.Unlock()
-	g.store.Lock()
+	g.weightStore.Lock()
 	time.Sleep(time.Duration(moves) * g.opts.LoadTime)
-	g.store.Unlock()
+	g.weightStore.Unlock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.hold == 0 && r.activate == 0 {
@@ -256,14 +259,14 @@
 	return r.state(false), ""
 }
 
-// missing counts the experts of the map that this rank has to fetch.
+// missing returns the number of experts of the map that this rank has to fetch.
 func (r *Rank) missing(next expertmap.Map) int {
 	n := 0
 	slots := r.group.opts.Shape.Slots
 	for l := range next.Layers {
-		had := r.active.Layers[l][r.index*slots : (r.index+1)*slots]
+		current := r.active.Layers[l][r.index*slots : (r.index+1)*slots]
 		for _, e := range next.Layers[l][r.index*slots : (r.index+1)*slots] {
-			if e != expertmap.Empty && !slices.Contains(had, e) {
+			if e != expertmap.Empty && !slices.Contains(current, e) {
 				n++
 			}
 		}
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -29,7 +29,8 @@
 	"baywall.example/standin/platform"
 )
 
-// Ports on each VM's address. Published ones belong to the proxy.
+// Ports on each VM's address. The fault proxy listens on the published ports and forwards
+// to the real ones.
 const (
 	portHTTP        = 8080
 	portLink        = 7000
@@ -50,28 +51,30 @@
 	Network  *faults.Network
 	Ledger   *ledger.Ledger
 	Groups   map[string]*engine.Group
-	Runners  map[string][]*engine.Rank  // engines by service, in order
-	Plain    map[string][]*plain.Server // the others
+	Runners  map[string][]*engine.Rank  // engine ranks by service, in the order of the runners
+	Plain    map[string][]*plain.Server // plain servers by service, in the order of the runners
 
 	dir       string
 	binaries  Binaries
 	mu        sync.Mutex
-	list      []vm.VM
+	vms       []vm.VM
 	processes map[vm.ID]*Process
 	addresses map[vm.ID]string
 	zones     map[string]string // by IP
 	closers   []func()
 }
 
-// Options change how a fleet is started.
+// Options configure the start of a fleet.
 type Options struct {
 	Binaries Binaries
 	Dir      string // for settings and logs
-	// Direct leaves the proxy out: processes publish their real addresses.
+	// Direct starts the fleet without the fault proxy; the list of VMs contains the
+	// real addresses of the processes.
 	Direct bool
 }
 
-// Start starts the whole site and waits until every entry VM is ready.
+// Start starts all stand-ins and processes of the site and waits until every entry VM is
+// ready.
 func Start(site Site, opts Options) (*Fleet, error) {
 	f := &Fleet{
 		Site: site, Platform: platform.New(), Ledger: ledger.New(), Groups: make(map[string]*engine.Group), Runners: make(map[string][]*engine.Rank), Plain: make(map[string][]*plain.Server),
@@ -86,7 +89,8 @@
 	return f, nil
 }
 
-// start brings everything up in the order in which it is needed.
+// start starts the platform and the stand-ins of the services, publishes the resources and
+// the list of VMs, and then starts the processes.
 func (f *Fleet) start(direct bool) error {
 	address, err := f.Platform.Serve(f.Site.Network + "." + platformAddress)
 	if err != nil {
@@ -105,7 +109,7 @@
 			return err
 		}
 	}
-	f.Platform.SetVMs(f.list)
+	f.Platform.SetVMs(f.vms)
 	for _, p := range f.processes {
 		if err := p.Start(); err != nil {
 			return err
@@ -145,7 +149,7 @@
 	}
 }
 
-// CallerIP returns the address that callers bind to.
+// CallerIP returns the local address of callers.
 func (f *Fleet) CallerIP() string { return f.Site.Network + "." + callerAddress }
 
 func (f *Fleet) addEntry(i int, platformURL string, direct bool) error {
@@ -213,7 +217,8 @@
 	return nil
 }
 
-// rankOf returns the engine of a service's i-th runner, nil if it has none.
+// rankOf returns the engine rank of a service's i-th runner, or nil if the service is a
+// plain one.
 func (f *Fleet) rankOf(svc ServiceSite, group *engine.Group, i int) (*engine.Rank, error) {
 	var rank *engine.Rank
 	switch {
@@ -238,7 +243,7 @@
 	return g, err
 }
 
-// Defaults of an engine stand-in.
+// Defaults of the stand-in for engines.
 const (
 	defaultBatch = 32
 	defaultCache = 64
@@ -303,7 +308,7 @@
 	if err := os.WriteFile(path, raw, 0o644); err != nil {
 		return err
 	}
-	f.list = append(f.list, v)
+	f.vms = append(f.vms, v)
 	f.processes[v.ID] = NewProcess(binary, "serve", path, filepath.Join(f.dir, string(v.ID)+".log"))
 	return nil
 }
@@ -311,14 +316,14 @@
 // Process returns the child process of a VM.
 func (f *Fleet) Process(id vm.ID) *Process { return f.processes[id] }
 
-// VMs returns the list as published last.
+// VMs returns the list of VMs that was published last.
 func (f *Fleet) VMs() []vm.VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]vm.VM(nil), f.list...)
+	return append([]vm.VM(nil), f.vms...)
 }
 
-// Find returns one VM.
+// Find returns a VM by its id, or the zero VM if the list does not contain it.
 func (f *Fleet) Find(id vm.ID) vm.VM {
 	v, _ := vm.List{VMs: f.VMs()}.Find(id)
 	return v
@@ -327,19 +332,19 @@
 // SetState publishes a VM as live or leaving; an empty state removes it.
 func (f *Fleet) SetState(id vm.ID, state vm.State) {
 	f.mu.Lock()
-	list := make([]vm.VM, 0, len(f.list))
-	for _, v := range f.list {
+	vms := make([]vm.VM, 0, len(f.vms))
+	for _, v := range f.vms {
 		if v.ID == id {
 			if state == "" {
 				continue
 			}
 			v.State = state
 		}
-		list = append(list, v)
+		vms = append(vms, v)
 	}
-	f.list = list
+	f.vms = vms
 	f.mu.Unlock()
-	f.Platform.SetVMs(list)
+	f.Platform.SetVMs(vms)
 }
 
 // IP returns a VM's address.
@@ -348,7 +353,7 @@
 	return host
 }
 
-// DebugAddress returns where a VM's process serves its metrics.
+// DebugAddress returns the address at which a VM's process serves its metrics.
 func (f *Fleet) DebugAddress(id vm.ID) string {
 	v := f.Find(id)
 	if v.Role == vm.RoleEntry {
@@ -357,7 +362,7 @@
 	return fmt.Sprintf("%s:%d", f.IP(id), portDebug)
 }
 
-// Server returns the address of a backend server, as the ledger names it.
+// Server returns the address of a VM's backend server, as recorded in the ledger.
 func (f *Fleet) Server(id vm.ID) string { return fmt.Sprintf("%s:%d", f.IP(id), portEngine) }
 
 // Entries returns the HTTP addresses of all entry VMs.
@@ -376,7 +381,8 @@
 	readyInterval = 20 * time.Millisecond
 )
 
-// awaitReady waits until every entry VM serves and has linked its runners.
+// awaitReady waits until every entry VM reports that it serves and has links to its
+// runners.
 func (f *Fleet) awaitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for _, address := range f.Entries() {
@@ -410,7 +416,7 @@
 	return answer.ConfigRevision, true
 }
 
-// Stop ends all child processes and stand-ins.
+// Stop kills all child processes and closes the stand-ins.
 func (f *Fleet) Stop() {
 	for _, p := range f.processes {
 		p.Continue()
--- a/standin/fleet/popularity.go
+++ b/standin/fleet/popularity.go
@@ -9,13 +9,13 @@
 	"baywall.example/standin/engine"
 )
 
-// Popularity returns a seeded, Zipf-like popularity of experts that drifts: a
-// slow blend from one order of experts to the next, in which some of them have
-// changed places, and, if asked for, bursts in which a few experts of a layer
-// get much of the load.
+// Popularity returns a reproducible Zipf-like popularity of experts that drifts. It blends
+// gradually from one ranking of the experts to the next, in which some of them have changed
+// places. If BurstSteps is set, bursts give a few experts of a layer a large share of the
+// load.
 func (g GroupSite) Popularity(s expertmap.Shape) engine.Popularity {
 	var mu sync.Mutex
-	cached, key := expertmap.Counts(nil), phase{order: math.MaxUint64}
+	cached, key := expertmap.Counts(nil), phase{ranking: math.MaxUint64}
 	return func(step uint64) expertmap.Counts {
 		mu.Lock()
 		defer mu.Unlock()
@@ -26,24 +26,24 @@
 	}
 }
 
-// phase tells where in its drift a popularity is.
+// phase identifies a point in the drift of a popularity.
 type phase struct {
-	order uint64 // number of orders gone through
-	blend uint64 // of the next one, in blendParts
-	burst uint64 // which burst is on, 0 = none
+	ranking uint64 // index of the ranking that the blend starts from
+	blend   uint64 // weight of the next ranking, in units of 1/blendParts
+	burst   uint64 // number of the burst in progress, 0 = none
 }
 
 const (
-	// blendParts is in how many parts one order turns into the next.
+	// blendParts is the number of parts in which one ranking is blended into the next.
 	blendParts = 32
-	// changedShare is the share of experts that change places in between.
+	// changedShare is the share of experts that change places between two rankings.
 	changedShare = 0.1
 )
 
 func (g GroupSite) phase(step uint64) phase {
 	var p phase
 	if g.DriftSteps > 0 {
-		p.order = step / g.DriftSteps
+		p.ranking = step / g.DriftSteps
 		p.blend = step % g.DriftSteps * blendParts / g.DriftSteps
 	}
 	if g.BurstSteps > 0 {
@@ -55,8 +55,8 @@
 func (g GroupSite) sharesAt(s expertmap.Shape, p phase) expertmap.Counts {
 	out := expertmap.NewCounts(s)
 	for l := range out {
-		now := zipfShares(s, g.Exponent, l, p.order)
-		next := zipfShares(s, g.Exponent, l, p.order+1)
+		now := zipfShares(s, g.Exponent, l, p.ranking)
+		next := zipfShares(s, g.Exponent, l, p.ranking+1)
 		f := float64(p.blend) / blendParts
 		for e := range out[l] {
 			out[l][e] = (1-f)*now[e] + f*next[e]
@@ -77,12 +77,12 @@
 	return out
 }
 
-// zipfShares returns the shares of one layer after a number of changes of the
-// order of its experts.
-func zipfShares(s expertmap.Shape, exponent float64, layer int, order uint64) []float64 {
+// zipfShares returns the shares of the experts of one layer under the ranking with the given
+// index.
+func zipfShares(s expertmap.Shape, exponent float64, layer int, ranking uint64) []float64 {
 	rnd := rand.New(rand.NewPCG(uint64(layer), 7))
 	perm := rnd.Perm(s.Experts)
-	for range order {
+	for range ranking {
 		for range int(changedShare * float64(s.Experts)) {
 			i, j := rnd.IntN(s.Experts), rnd.IntN(s.Experts)
 			perm[i], perm[j] = perm[j], perm[i]
--- a/standin/fleet/process.go
+++ b/standin/fleet/process.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// Process is one child process on one VM: one of the two programs with a subcommand.
+// Process is the child process of one VM: one of the two programs, run with a subcommand.
 type Process struct {
 	binary   string
 	command  string
@@ -22,13 +22,13 @@
 	err  error
 }
 
-// NewProcess returns a process that is not started yet. Its settings file must be there
-// when it is.
+// NewProcess returns a process that has not been started. Its settings file must exist when
+// Start is called.
 func NewProcess(binary, command, settings, logPath string) *Process {
 	return &Process{binary: binary, command: command, settings: settings, logPath: logPath}
 }
 
-// Start runs the program; its output goes to the VM's log file.
+// Start starts the program; its output is appended to the VM's log file.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,22 +65,22 @@
 	}
 }
 
-// Pause stops the process in its tracks; Continue wakes it.
+// Pause suspends the process with SIGSTOP until Continue is called.
 func (p *Process) Pause() { p.Signal(syscall.SIGSTOP) }
 
-// Continue wakes a paused process.
+// Continue resumes a suspended process.
 func (p *Process) Continue() { p.Signal(syscall.SIGCONT) }
 
-// Kill ends the process at once and waits for that.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.Done()
 }
 
-// Terminate asks the process to stop gracefully.
+// Terminate requests a graceful stop with SIGTERM.
 func (p *Process) Terminate() { p.Signal(syscall.SIGTERM) }
 
-// Done returns a channel that is closed when the process has ended, nil before its
+// Done returns a channel that is closed when the process has exited, or nil before the
 // first start.
 func (p *Process) Done() <-chan struct{} {
 	p.mu.Lock()
@@ -88,7 +88,7 @@
 	return p.done
 }
 
-// Err returns how the process ended, nil for status 0.
+// Err waits until the process has exited and returns its error, nil for exit status 0.
 func (p *Process) Err() error {
 	<-p.Done()
 	p.mu.Lock()
@@ -103,13 +103,13 @@
 	return p.cmd.Process.Pid
 }
 
-// Restart starts the program again after it has ended.
+// Restart starts the program again after it has exited.
 func (p *Process) Restart() error { return p.Start() }
 
 // Binaries are the paths of the two programs.
 type Binaries struct{ Entry, Agent string }
 
-// Build compiles both programs into the folder.
+// Build compiles both programs into a directory.
 func Build(dir string) (Binaries, error) {
 	b := Binaries{Entry: filepath.Join(dir, "baywall"), Agent: filepath.Join(dir, "baywall-agent")}
 	for out, pkg := range map[string]string{b.Entry: "baywall.example/entry/cmd/baywall", b.Agent: "baywall.example/agent/cmd/baywall-agent"} {
--- a/standin/fleet/site.go
+++ b/standin/fleet/site.go
@@ -1,7 +1,7 @@
-// Package fleet starts a whole site on one machine: the platform, engines and
-// services as stand-ins in this process, and the real programs as child
-// processes, every VM with a loopback address of its own and the network of
-// package faults between them.
+// Package fleet starts a whole site on one machine. The platform, the engines and the plain
+// services are stand-ins in this process; the real programs run as child processes. Every VM
+// has its own loopback address, and the VMs communicate through the network of package
+// faults.
 package fleet
 
 import (
@@ -12,27 +12,24 @@
 	"baywall.example/core/settings"
 )
 
-// Site describes an operator's site.
+// Site describes a site: its VMs, services and teams.
 type Site struct {
-	// Name of the site.
 	Name string `yaml:"name"`
-	// Network is the first two octets of all addresses, in 127.0.0.0/8.
+	// Network is the first two octets of all addresses, within 127.0.0.0/8.
 	Network string `yaml:"network"`
-	// Zones are the availability zones; VMs are spread over them in turn.
+	// Zones are the availability zones; VMs are assigned to them round-robin.
 	Zones []string `yaml:"zones"`
 	// ZoneDelay is the one-way delay between two availability zones.
 	ZoneDelay time.Duration `yaml:"zone_delay"`
 	// CallerDelay is the one-way delay between callers and entry VMs.
 	CallerDelay time.Duration `yaml:"caller_delay"`
-	// EntryVMs is the number of entry VMs.
-	EntryVMs int `yaml:"entry_vms"`
-	// Services that the site runs.
-	Services []ServiceSite `yaml:"services"`
-	// Teams by name.
+	EntryVMs    int           `yaml:"entry_vms"`
+	Services    []ServiceSite `yaml:"services"`
+	// Teams contains the teams by name.
 	Teams map[string]resource.Team `yaml:"teams"`
 	// DrainLinger, if set, replaces the default of the entry VMs.
 	DrainLinger time.Duration `yaml:"drain_linger"`
-	// AgentLinger is how long agents answer after they began to leave.
+	// AgentLinger is how long agents continue to answer after they have started to leave.
 	AgentLinger time.Duration `yaml:"agent_linger"`
 	// TicketTTL, if set, replaces the default of the entry VMs.
 	TicketTTL time.Duration `yaml:"ticket_ttl"`
@@ -46,34 +43,34 @@
 	Runners int              `yaml:"runners"`
 	Spec    resource.Service `yaml:"spec"`
 	Intent  resource.Intent  `yaml:"intent"`
-	// Group is the shape of the expert-parallel group, for engines.
+	// Group describes the expert-parallel group that the runners form, nil for none.
 	Group *GroupSite `yaml:"group"`
-	// Independent makes the runners engines that step on their own, without a
-	// group that operators know of.
+	// Independent makes each runner an engine that steps by itself, without a group
+	// resource on the platform.
 	Independent bool `yaml:"independent"`
-	// Step is the base time of an engine's step.
+	// Step is the base duration of an engine's step.
 	Step time.Duration `yaml:"step"`
-	// Batch is how many requests an engine runs at a time, 0 = 32.
+	// Batch is the maximum number of requests that an engine runs at a time, 0 = 32.
 	Batch int `yaml:"batch"`
-	// Cache is how many prompt prefixes an engine caches, 0 = 64.
+	// Cache is the number of prompt prefixes that an engine caches, 0 = 64.
 	Cache int `yaml:"cache"`
-	// Delay is the answer time of a plain service.
+	// Delay is the response time of a plain service.
 	Delay time.Duration `yaml:"delay"`
 }
 
-// GroupSite is the group that a service's runners form.
+// GroupSite describes the group that a service's runners form.
 type GroupSite struct {
 	Layers      int     `yaml:"layers"`
 	Experts     int     `yaml:"experts"`
 	Slots       int     `yaml:"slots"`
-	Exponent    float64 `yaml:"exponent"`     // of the Zipf popularity
-	DriftSteps  uint64  `yaml:"drift_steps"`  // until the popularity order has shifted by one
-	BurstSteps  uint64  `yaml:"burst_steps"`  // length of a burst, 0 = no bursts
-	BurstWeight float64 `yaml:"burst_weight"` // share of tokens of a burst's experts
+	Exponent    float64 `yaml:"exponent"`     // exponent of the Zipf popularity
+	DriftSteps  uint64  `yaml:"drift_steps"`  // steps from one popularity ranking to the next, 0 = no drift
+	BurstSteps  uint64  `yaml:"burst_steps"`  // length of a burst in steps, 0 = no bursts
+	BurstWeight float64 `yaml:"burst_weight"` // share of a layer's tokens that go to a burst's experts
 	Fenced      bool    `yaml:"fenced"`
 }
 
-// Validate returns every wrong value.
+// Validate returns all invalid values.
 func (s *Site) Validate() []settings.Problem {
 	var c settings.Checks
 	c.Require("name", s.Name)
--- a/standin/load/caller.go
+++ b/standin/load/caller.go
@@ -1,5 +1,5 @@
-// Package load plays the callers of a site and checks what they get: every
-// answer must be whole and belong to its request, every refusal truthful.
+// Package load simulates the callers of a site and checks the responses: every answer must
+// be complete and belong to its request, and a request refused as not run must not have run.
 package load
 
 import (
@@ -21,7 +21,7 @@
 	"baywall.example/standin/plain"
 )
 
-// Outcome is how a request ended for its caller.
+// Outcome is the final state of a request as its caller knows it.
 type Outcome string
 
 // Outcomes.
@@ -29,39 +29,39 @@
 	Answered Outcome = "answered"
 	NotRun   Outcome = "not-run"
 	Unknown  Outcome = "unknown"
-	Cut      Outcome = "cut" // the answer stopped visibly and could not be resumed
+	Cut      Outcome = "cut" // the answer was visibly truncated and could not be resumed
 )
 
-// Request is one piece of work to ask for.
+// Request is a request for one unit of work.
 type Request struct {
 	Work          string
 	Service       string
 	Team          string
-	Stream        bool // of a model engine; otherwise a plain document
+	Stream        bool // an answer streamed by a model engine; otherwise a plain document
 	NonIdempotent bool
 	Prefix        string
 	Prompt        int
 	Tokens        int
 }
 
-// Result is what the caller saw.
+// Result is the result of a request as its caller saw it.
 type Result struct {
 	Request
-	Outcome    Outcome
-	Reason     string
-	Crossed    bool // the answer was not, or not only, its own
-	FirstToken time.Duration
-	Total      time.Duration
-	Sends      int
-	Resumes    int
-	Called     time.Time
-	Returned   time.Time
+	Outcome     Outcome
+	Reason      string
+	WrongAnswer bool // the answer differs from the one that belongs to the request
+	FirstToken  time.Duration
+	Total       time.Duration
+	Sends       int
+	Resumes     int
+	Called      time.Time
+	Returned    time.Time
 }
 
-// maxSends is how often a caller sends one request.
+// maxSends is the maximum number of times that a caller sends one request.
 const maxSends = 4
 
-// Caller asks entry VMs for addresses and sends requests. It is safe for
+// Caller discovers the addresses of entry VMs and sends requests to them. It is safe for
 // concurrent use.
 type Caller struct {
 	client    *http.Client
@@ -77,8 +77,8 @@
 	expires time.Time
 }
 
-// NewCaller returns a caller that connects from the IP, and first asks the
-// bootstrap addresses which ones to use.
+// NewCaller returns a caller that connects from the IP, if it is not empty, and discovers
+// entry VMs through the bootstrap addresses.
 func NewCaller(ip string, bootstrap []string) *Caller {
 	dialer := &net.Dialer{Timeout: time.Second}
 	if ip != "" {
@@ -91,8 +91,8 @@
 	}
 }
 
-// Entries returns the addresses for a service, from the cache while it lasts.
-// With tickets asked for it always asks anew.
+// Entries returns the addresses for a service, from the cache until its TTL ends. A call that
+// requests tickets always asks an entry VM.
 func (c *Caller) Entries(ctx context.Context, service string, tickets int) (api.EntriesAnswer, error) {
 	c.mu.Lock()
 	cached, ok := c.cache[service]
@@ -110,7 +110,7 @@
 	}
 	var errs []error
 	for i := range min(len(addresses), 2*maxSends) {
-		address := addresses[(c.turn()+i)%len(addresses)]
+		address := addresses[(c.nextIndex()+i)%len(addresses)]
 		answer, err := c.lookup(ctx, address, service, tickets)
 		if err == nil {
 			c.mu.Lock()
@@ -123,7 +123,7 @@
 	return api.EntriesAnswer{}, errors.Join(errs...)
 }
 
-func (c *Caller) turn() int {
+func (c *Caller) nextIndex() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.next++
@@ -153,7 +153,7 @@
 	return answer, nil
 }
 
-// Do sends the request, again where that is safe, until it has an outcome.
+// Do sends the request, resends it where that is safe, and returns its result.
 func (c *Caller) Do(ctx context.Context, r Request) Result {
 	s := &session{caller: c, result: Result{Request: r, Outcome: NotRun}, start: time.Now()}
 	s.run(ctx)
@@ -162,15 +162,15 @@
 	return s.result
 }
 
-// session is one request of one caller.
+// session is the state of one request of one caller.
 type session struct {
-	caller   *Caller
-	result   Result
-	start    time.Time
-	ticket   string
-	maybeRan bool
-	body     bytes.Buffer // of the answer so far
-	place    string       // where the answer can be resumed
+	caller    *Caller
+	result    Result
+	start     time.Time
+	ticket    string
+	maybeRan  bool
+	body      bytes.Buffer // part of the answer received so far
+	attemptID string       // identifies the attempt whose answer can be resumed
 }
 
 func (s *session) run(ctx context.Context) {
@@ -189,20 +189,21 @@
 	}
 	for i := range maxSends {
 		address := answer.Entries[i%len(answer.Entries)].Address
-		again, pause := s.send(ctx, address)
-		if !again {
+		retry, delay := s.send(ctx, address)
+		if !retry {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// refuse notes a refusal; it is not-run only if no earlier send may have run.
-func (s *session) refuse(outcome Outcome, reason string) {
+// recordRefusal records a refusal. The outcome is not-run only if no earlier send may have
+// run.
+func (s *session) recordRefusal(outcome Outcome, reason string) {
 	if outcome == Unknown {
 		s.maybeRan = true
 	}
@@ -213,8 +214,9 @@
 	s.result.Reason = reason
 }
 
-// send makes one HTTP request. It reports whether to send again, and when.
-func (s *session) send(ctx context.Context, address string) (again bool, pause time.Duration) {
+// send makes one HTTP request. It reports whether to send the request again, and after
+// which delay.
+func (s *session) send(ctx context.Context, address string) (retry bool, delay time.Duration) {
 	s.result.Sends++
 	req, err := s.newRequest(ctx, address)
 	if err != nil {
@@ -224,26 +226,26 @@
 	resp, err := s.caller.client.Do(req)
 	if err != nil {
 		var op *net.OpError
-		dialed := !errors.As(err, &op) || op.Op != "dial"
-		if dialed && !s.redeemable() {
+		connected := !errors.As(err, &op) || op.Op != "dial"
+		if connected && !s.resendIsSafe() {
 			s.maybeRan = true
 		}
-		s.refuse(s.lostOutcome(dialed), "connection lost: "+err.Error())
+		s.recordRefusal(s.outcomeAfterError(connected), "connection lost: "+err.Error())
 		return true, 0
 	}
 	defer resp.Body.Close()
 	if outcome := resp.Header.Get(api.HeaderOutcome); outcome != "" {
-		return s.refused(resp, Outcome(outcome))
+		return s.handleRefusal(resp, Outcome(outcome))
 	}
-	s.place = resp.Header.Get(api.HeaderAttempt)
+	s.attemptID = resp.Header.Get(api.HeaderAttempt)
 	s.body.Reset()
-	s.read(resp.Body)
-	if s.whole() {
-		s.answered()
+	s.readBody(resp.Body)
+	if s.complete() {
+		s.checkAnswer()
 		return false, 0
 	}
 	if s.resume(ctx) {
-		s.answered()
+		s.checkAnswer()
 		return false, 0
 	}
 	s.result.Outcome = Cut
@@ -251,25 +253,26 @@
 	return false, 0
 }
 
-// redeemable reports whether a resend cannot run the work a second time.
-func (s *session) redeemable() bool { return s.ticket != "" }
+// resendIsSafe reports whether a resend cannot run the work a second time. With a ticket it
+// cannot: a ticket runs at most once.
+func (s *session) resendIsSafe() bool { return s.ticket != "" }
 
-func (s *session) lostOutcome(dialed bool) Outcome {
-	if dialed {
+func (s *session) outcomeAfterError(connected bool) Outcome {
+	if connected {
 		return Unknown
 	}
 	return NotRun
 }
 
-func (s *session) refused(resp *http.Response, outcome Outcome) (again bool, pause time.Duration) {
+func (s *session) handleRefusal(resp *http.Response, outcome Outcome) (retry bool, delay time.Duration) {
 	reason := resp.Header.Get(api.HeaderReason)
 	_, _ = io.Copy(io.Discard, resp.Body)
-	if s.redeemable() && outcome == NotRun {
-		s.maybeRan = false // the ticket's agent has proved it
+	if s.resendIsSafe() && outcome == NotRun {
+		s.maybeRan = false // the ticket's agent has confirmed that the work did not run
 	}
-	s.refuse(outcome, reason)
-	if s.redeemable() && outcome == Unknown && reason != "agent-replaced" {
-		return true, 200 * time.Millisecond // safe: the ticket runs at most once
+	s.recordRefusal(outcome, reason)
+	if s.resendIsSafe() && outcome == Unknown && reason != "agent-replaced" {
+		return true, 200 * time.Millisecond // safe: a ticket runs at most once
 	}
 	return false, 0
 }
@@ -280,7 +283,7 @@
 	if r.Stream {
 		path = "/generate"
 		body, _ = json.Marshal(engine.Prompt{Work: r.Work, Prefix: r.Prefix, Prompt: r.Prompt, Tokens: r.Tokens})
-		// The prompt's prefix comes first in the body, as in a real prompt.
+		// The body starts with the prompt's prefix, as that of a real prompt does.
 		body = append([]byte(`{"prefix":"`+r.Prefix+`",`), body[1:]...)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/services/"+r.Service+path, bytes.NewReader(body))
@@ -295,8 +298,8 @@
 	return req, nil
 }
 
-// read takes in the answer's body until it ends or breaks.
-func (s *session) read(body io.Reader) {
+// readBody reads the body of the answer until its end or an error.
+func (s *session) readBody(body io.Reader) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := body.Read(buf)
@@ -310,21 +313,21 @@
 	}
 }
 
-func (s *session) whole() bool {
+func (s *session) complete() bool {
 	if s.result.Stream {
 		return strings.Contains(s.body.String(), "[DONE")
 	}
 	return strings.HasSuffix(s.body.String(), "\n")
 }
 
-// resume gets the rest of a cut answer through another entry VM.
+// resume reads the rest of a truncated answer through any entry VM that serves it.
 func (s *session) resume(ctx context.Context) bool {
 	for _, address := range s.caller.bootstrap {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/resume", nil)
 		if err != nil {
 			return false
 		}
-		req.Header.Set(api.HeaderAttempt, s.place)
+		req.Header.Set(api.HeaderAttempt, s.attemptID)
 		req.Header.Set(api.HeaderOffset, fmt.Sprint(s.body.Len()))
 		resp, err := s.caller.client.Do(req)
 		if err != nil {
@@ -332,22 +335,23 @@
 		}
 		s.result.Resumes++
 		if resp.Header.Get(api.HeaderOutcome) == "" {
-			s.read(resp.Body)
+			s.readBody(resp.Body)
 		}
 		resp.Body.Close()
-		if s.whole() {
+		if s.complete() {
 			return true
 		}
 	}
 	return false
 }
 
-// answered checks that the answer is whole and the caller's own.
-func (s *session) answered() {
+// checkAnswer records that the request was answered and checks that the answer belongs to
+// it.
+func (s *session) checkAnswer() {
 	s.result.Outcome = Answered
 	text := s.body.String()
 	if !s.result.Stream {
-		s.result.Crossed = text != "document "+s.result.Work+"\n"
+		s.result.WrongAnswer = text != "document "+s.result.Work+"\n"
 		return
 	}
 	var want strings.Builder
@@ -355,5 +359,5 @@
 		fmt.Fprintf(&want, "id: %d\ndata: %s %d\n\n", n, s.result.Work, n)
 	}
 	fmt.Fprintf(&want, "data: [DONE %s]\n\n", s.result.Work)
-	s.result.Crossed = text != want.String()
+	s.result.WrongAnswer = text != want.String()
 }
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -24,27 +24,30 @@
 	Rate          float64 // requests a second
 	Prefixes      int     // distinct prompt prefixes
 	Prompt        int     // tokens
-	Tokens        int     // mean answer length
+	Tokens        int     // mean answer length, in tokens
 }
 
-// Options describe a run.
+// Options configure a run.
 type Options struct {
 	Workloads []Workload
 	Duration  time.Duration
 	Seed      uint64
-	// MaxInFlight bounds the callers at a time. Default 2000.
+	// MaxInFlight is the maximum number of requests in flight. Default 2000.
 	MaxInFlight int
 	Progress    func(done int64)
 }
 
-// Report sums a run up.
+// Report is the summary of a run.
 type Report struct {
 	Requests, Answered, NotRun, Unknown, Cut int
-	Doubled, Crossed, FalseNotRun, Lost      int
-	Resumed                                  int
-	First, Total                             *hdrhistogram.Histogram // microseconds
-	Reasons                                  map[string]int
-	Results                                  []Result
+	// Duplicated counts non-idempotent requests that ran more than once, WrongAnswer answers
+	// that do not belong to their request, FalseNotRun requests that ran although they were
+	// refused as not run, and WithoutRun answers without an execution.
+	Duplicated, WrongAnswer, FalseNotRun, WithoutRun int
+	Resumed                                          int
+	First, Total                                     *hdrhistogram.Histogram // microseconds
+	Reasons                                          map[string]int
+	Results                                          []Result
 }
 
 const (
@@ -53,7 +56,7 @@
 	defaultInFlight = 2000
 )
 
-// Run plays the workloads and checks the results against the ledger.
+// Run sends the requests of the workloads and checks the results against the ledger.
 func Run(ctx context.Context, caller *Caller, l *ledger.Ledger, o Options) *Report {
 	if o.MaxInFlight == 0 {
 		o.MaxInFlight = defaultInFlight
@@ -77,7 +80,8 @@
 	return Summarize(results, l)
 }
 
-// arrivals calls emit for each request, as Poisson processes one a workload.
+// arrivals calls emit for each request; the arrivals of each workload form a Poisson
+// process.
 func arrivals(ctx context.Context, o Options, emit func(Request)) {
 	end := time.Now().Add(o.Duration)
 	var wg sync.WaitGroup
@@ -100,7 +104,8 @@
 	wg.Wait()
 }
 
-// prefixRepeats makes a prompt's shared beginning as long as a real one.
+// prefixRepeats is how often the text of a prefix is repeated, so that it is as long as the
+// shared prefix of a real prompt.
 const prefixRepeats = 64
 
 func (w Workload) request(rnd *rand.Rand, work string) Request {
@@ -117,7 +122,7 @@
 	return r
 }
 
-// Summarize counts outcomes and compares them with what really ran.
+// Summarize counts the outcomes and compares them with the executions in the ledger.
 func Summarize(results []Result, l *ledger.Ledger) *Report {
 	r := &Report{
 		Requests: len(results), Reasons: make(map[string]int), Results: results,
@@ -126,10 +131,10 @@
 	for _, res := range results {
 		runs := l.Runs(res.Work)
 		if res.NonIdempotent && runs > 1 {
-			r.Doubled++
+			r.Duplicated++
 		}
-		if res.Crossed {
-			r.Crossed++
+		if res.WrongAnswer {
+			r.WrongAnswer++
 		}
 		if res.Resumes > 0 {
 			r.Resumed++
@@ -138,7 +143,7 @@
 		case Answered:
 			r.Answered++
 			if runs == 0 {
-				r.Lost++ // an answer without an execution cannot be
+				r.WithoutRun++ // every answer needs an execution
 			}
 			_ = r.First.RecordValue(res.FirstToken.Microseconds())
 			_ = r.Total.RecordValue(res.Total.Microseconds())
@@ -159,26 +164,26 @@
 	return r
 }
 
-// shorten keeps the beginning of a reason, up to the first detail.
+// shorten returns a reason without its details, which follow the first colon.
 func shorten(reason string) string {
 	head, _, _ := strings.Cut(reason, ":")
 	return head
 }
 
-// Violations returns the number of broken promises.
-func (r *Report) Violations() int { return r.Doubled + r.Crossed + r.FalseNotRun + r.Lost }
+// Violations returns the number of violated guarantees.
+func (r *Report) Violations() int { return r.Duplicated + r.WrongAnswer + r.FalseNotRun + r.WithoutRun }
 
-// Add adds another report's counts.
+// Add adds the counts of another report.
 func (r *Report) Add(o *Report) {
 	r.Requests += o.Requests
 	r.Answered += o.Answered
 	r.NotRun += o.NotRun
 	r.Unknown += o.Unknown
 	r.Cut += o.Cut
-	r.Doubled += o.Doubled
-	r.Crossed += o.Crossed
+	r.Duplicated += o.Duplicated
+	r.WrongAnswer += o.WrongAnswer
 	r.FalseNotRun += o.FalseNotRun
-	r.Lost += o.Lost
+	r.WithoutRun += o.WithoutRun
 	r.Resumed += o.Resumed
 	for reason, n := range o.Reasons {
 		r.Reasons[reason] += n
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,7 +1,7 @@
-// Package platform is a stand-in for the operators' platform: values that can
-// only be read and watched, with revisions, a rate cap and a call counter.
+// Package platform is a stand-in for the operators' platform. Its clients can only read and
+// watch values, which have revisions; it limits the rate of reads and counts them.
 //
-// Faults: the service can be down, frozen at an old revision, or rate-limited.
+// Faults: the platform can be down, frozen at an old revision, or rate-limited.
 package platform
 
 import (
@@ -22,9 +22,9 @@
 )
 
 const (
-	// ReadsPerSecond is the cap over all readers.
+	// ReadsPerSecond is the rate limit shared by all readers.
 	ReadsPerSecond = 2000
-	// teamShards is how many values the teams are spread over.
+	// teamShards is the number of values over which the teams are spread.
 	teamShards = 16
 )
 
@@ -37,14 +37,14 @@
 	revision  uint64
 	resources map[resource.Key]client.Resource
 	values    map[string]client.Value
-	frozen    map[string]client.Value // served instead of values, if not nil
+	frozen    map[string]client.Value // if not nil, served instead of values
 	down      bool
 	changed   chan struct{}
 	calls     int64
 	limited   int64
 }
 
-// New returns a platform that holds nothing.
+// New returns a platform without resources and VMs.
 func New() *Platform {
 	p := &Platform{
 		limiter:   rate.NewLimiter(ReadsPerSecond, ReadsPerSecond),
@@ -56,7 +56,7 @@
 	return p
 }
 
-// Serve listens on the address and returns the one bound.
+// Serve starts serving on the address and returns the address that was bound.
 func (p *Platform) Serve(address string) (string, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -72,11 +72,11 @@
 // Close stops serving.
 func (p *Platform) Close() { _ = p.server.Close() }
 
-// Put publishes a resource, whatever its content, and returns its revision.
+// Put publishes a resource without validating it and returns its revision.
 func (p *Platform) Put(kind resource.Kind, name string, spec any) uint64 {
 	raw, err := json.Marshal(spec)
 	if err != nil {
-		panic(err) // only a test can do that
+		panic(err) // only a test can pass a value that cannot be encoded
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,7 +100,7 @@
 	return p.revision
 }
 
-// Delete removes a resource and returns the revision of that.
+// Delete removes a resource and returns the revision of the deletion.
 func (p *Platform) Delete(kind resource.Kind, name string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,26 +110,26 @@
 	return p.revision
 }
 
-// SetVMs publishes the list of VMs.
+// SetVMs publishes the list of VMs and returns its revision.
 func (p *Platform) SetVMs(vms []vm.VM) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.revision++
 	p.values[client.KeyVMs] = client.Value{Revision: p.revision, Data: encode(vm.List{VMs: vms})}
-	p.wake()
+	p.notifyWatchers()
 	return p.revision
 }
 
-// SetDown makes every read fail, or work again.
+// SetDown makes every read fail while down is true.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
-	p.wake()
+	p.notifyWatchers()
 }
 
-// Freeze makes the platform answer with what it holds now, whatever is
-// published later; false ends that.
+// Freeze makes the platform serve its current state and ignore what is published later;
+// Freeze(false) ends that.
 func (p *Platform) Freeze(frozen bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,10 +140,10 @@
 			p.frozen[k] = v
 		}
 	}
-	p.wake()
+	p.notifyWatchers()
 }
 
-// Snapshot is the state of the platform at one moment.
+// Snapshot is the state of the platform at one point in time.
 type Snapshot map[string]client.Value
 
 // Unfreeze ends a freeze and returns the state that was frozen.
@@ -155,16 +155,15 @@
 	return frozen
 }
 
-// Rewind makes the platform answer with an earlier state, as a replica that
-// lags far behind does.
+// Rewind makes the platform serve an earlier state, as a replica that lags far behind does.
 func (p *Platform) Rewind(s Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.frozen = s
-	p.wake()
+	p.notifyWatchers()
 }
 
-// Calls returns the number of reads so far, and of those over the cap.
+// Calls returns the number of reads so far, and how many of them exceeded the rate limit.
 func (p *Platform) Calls() (calls, limited int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,7 +177,7 @@
 	return p.revision
 }
 
-// publish renders the shards and the index; the lock is held.
+// publish renders the shards and the index. The caller holds the lock.
 func (p *Platform) publish() {
 	shards := make(map[string][]client.Resource)
 	for key, r := range p.resources {
@@ -186,7 +185,7 @@
 	}
 	for name := range p.values {
 		if name != client.KeyVMs && name != client.KeyIndex && shards[name] == nil {
-			shards[name] = nil // emptied, still listed
+			shards[name] = nil // a shard that became empty stays in the index
 		}
 	}
 	index := client.Index{Shards: make(map[string]uint64)}
@@ -199,7 +198,7 @@
 		index.Shards[name] = p.values[name].Revision
 	}
 	p.values[client.KeyIndex] = client.Value{Revision: p.revision, Data: encode(index)}
-	p.wake()
+	p.notifyWatchers()
 }
 
 func newest(list []client.Resource) uint64 {
@@ -222,17 +221,17 @@
 func encode(v any) json.RawMessage {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // only a test can do that
+		panic(err) // only a test can pass a value that cannot be encoded
 	}
 	return raw
 }
 
-func (p *Platform) wake() {
+func (p *Platform) notifyWatchers() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// lookup returns the value to answer with and a channel for the next change.
+// lookup returns the value to serve and a channel that is closed at the next change.
 func (p *Platform) lookup(key string) (v client.Value, down bool, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -243,7 +242,7 @@
 	return v, p.down, p.changed
 }
 
-func (p *Platform) count() bool {
+func (p *Platform) allowRead() bool {
 	allowed := p.limiter.Allow()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -255,7 +254,7 @@
 }
 
 func (p *Platform) read(w http.ResponseWriter, r *http.Request) {
-	if !p.count() {
+	if !p.allowRead() {
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
