--- a/standin/e2e/commands_test.go
+++ b/standin/e2e/commands_test.go
@@ -12,7 +12,7 @@
 	"baywall.example/core/resource"
 )
 
-// run runs a command of one of the programs and returns its output and status.
+// run runs a command of one of the programs and returns its output and exit status.
 func run(t *testing.T, binary string, args ...string) (string, int) {
 	t.Helper()
 	cmd := exec.Command(binary, args...)
@@ -60,7 +60,7 @@
 	f := start(t, site())
 	entry := f.Entries()[0]
 	revision := f.Platform.Put(resource.KindTeam, "green", resource.Team{Concurrency: 7})
-	inForceEverywhere(t, entry, "/v1/teams/green", revision)
+	awaitInForce(t, entry, "/v1/teams/green", revision)
 	out, status := run(t, binaries.Entry, "get", "-entry", entry, "teams", "green")
 	is.Equal(status, 0)
 	is.True(strings.Contains(out, `"phase":"accepted"`) && strings.Contains(out, `"concurrency":7`))
--- a/standin/e2e/configuration_test.go
+++ b/standin/e2e/configuration_test.go
@@ -26,8 +26,9 @@
 	return answer.VMsRevision
 }
 
-// inForceEverywhere awaits that an entry VM's status says so.
-func inForceEverywhere(t *testing.T, address, path string, revision uint64) {
+// awaitInForce waits until the status that an entry VM reports for a resource says that
+// the revision is in force on all VMs.
+func awaitInForce(t *testing.T, address, path string, revision uint64) {
 	t.Helper()
 	await(t, path+" is in force everywhere", func() bool {
 		v, _ := getResource(t, address, path)
@@ -35,15 +36,15 @@
 	})
 }
 
-func TestAChangeIsInForceEverywhereAndAMistakeIsRejected(t *testing.T) {
+func TestChangeIsInForceEverywhereAndInvalidChangeIsRejected(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
 	entry := f.Entries()[2]
 	revision := f.Platform.Put(resource.KindTeam, "green", resource.Team{Concurrency: 9})
-	inForceEverywhere(t, entry, "/v1/teams/green", revision)
+	awaitInForce(t, entry, "/v1/teams/green", revision)
 
 	bad := f.Platform.Put(resource.KindTeam, "green", map[string]any{"concurrency": 0.5})
-	await(t, "the mistake is rejected", func() bool {
+	await(t, "the invalid change is rejected", func() bool {
 		v, _ := getResource(t, entry, "/v1/teams/green")
 		return v.Status.RejectedRevision == bad
 	})
@@ -54,17 +55,17 @@
 	is.True(strings.Contains(string(v.Spec), "9"))
 
 	deleted := f.Platform.Delete(resource.KindTeam, "green")
-	await(t, "the deletion has come", func() bool {
+	await(t, "the entry VM has the deletion", func() bool {
 		_, status := getResource(t, entry, "/v1/teams/green")
 		return status == http.StatusNotFound
 	})
-	await(t, "the deletion's revision has come", func() bool {
+	await(t, "the entry VM has the deletion's revision", func() bool {
 		r, ok := fleet.Revision(entry)
 		return ok && r >= deleted
 	})
 }
 
-func TestAWatchTellsOfAChangeAndWhenItIsInForce(t *testing.T) {
+func TestWatchReportsChangeUntilItIsInForce(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
 	resp, err := http.Get("http://" + f.Entries()[1] + "/v1/teams?watch=1&revision=" + "0")
@@ -82,15 +83,15 @@
 	t.Fatal("the watch ended before the change was in force")
 }
 
-// The platform goes stale, then down; an entry VM that restarts meanwhile gets
-// from its peers what the platform would take back.
-func TestARestartUnderAStalePlatformDoesNotRevert(t *testing.T) {
+// While the platform serves an old state or is down, a restarting entry VM gets the newer
+// configuration from its peers and does not revert to the platform's old one.
+func TestRestartWithStalePlatformDoesNotRevert(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
-	f.Platform.Freeze(true) // remembered as the old state
+	f.Platform.Freeze(true) // takes a snapshot of the old state
 	old := f.Platform.Unfreeze()
 	revision := f.Platform.Put(resource.KindTeam, "green", resource.Team{Concurrency: 4})
-	inForceEverywhere(t, f.Entries()[0], "/v1/teams/green", revision)
+	awaitInForce(t, f.Entries()[0], "/v1/teams/green", revision)
 	f.Platform.Rewind(old)
 	f.Process("entry-2").Kill()
 	is.NoErr(f.Process("entry-2").Restart())
@@ -115,8 +116,8 @@
 	is.Equal(resp.StatusCode, http.StatusOK)
 }
 
-// A partition cuts one availability zone off; both parts go on serving, and
-// after the heal a change that only one part had heard of is in force in both.
+// During a partition between two availability zones both parts continue to serve. A change
+// published during the partition is in force in both parts after it ends.
 func TestBothPartsServeDuringAPartition(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
@@ -137,15 +138,15 @@
 	}
 	f.Network.Partition(north, south, true)
 	for _, address := range []string{northEntry, southEntry} {
-		await(t, "a part serves", func() bool {
+		await(t, "both parts serve", func() bool {
 			resp, _ := post(t, address, "archive", "", "")
 			return resp.StatusCode == http.StatusOK
 		})
 	}
 	revision := f.Platform.Put(resource.KindTeam, "green", resource.Team{Concurrency: 4})
 	f.Network.Partition(north, south, false)
-	inForceEverywhere(t, northEntry, "/v1/teams/green", revision)
-	inForceEverywhere(t, southEntry, "/v1/teams/green", revision)
+	awaitInForce(t, northEntry, "/v1/teams/green", revision)
+	awaitInForce(t, southEntry, "/v1/teams/green", revision)
 	resp, _ := post(t, northEntry, "archive", "after", "")
 	is.Equal(resp.StatusCode, http.StatusOK)
 }
--- a/standin/e2e/doc.go
+++ b/standin/e2e/doc.go
@@ -1,3 +1,3 @@
-// Package e2e holds tests that run the real programs as processes, with the
-// fault proxy between them. Conditions are awaited; no test asserts on time.
+// Package e2e contains tests that run the real programs as processes, with the fault proxy
+// between them. Tests wait for conditions and do not assert on time.
 package e2e
--- a/standin/e2e/fleet_test.go
+++ b/standin/e2e/fleet_test.go
@@ -37,10 +37,10 @@
 	os.Exit(code)
 }
 
-// networks numbers the fleets, so that each has addresses of its own.
+// networks counts the fleets, so that each one gets its own network.
 var networks atomic.Int64
 
-// site is a small site: 4 entry VMs, a group of 4 ranks, 3 plain servers.
+// site returns a small site: 4 entry VMs, a group of 4 ranks and 3 plain servers.
 func site() fleet.Site {
 	return fleet.Site{
 		Name: "test", Network: fmt.Sprintf("127.%d", 40+networks.Add(1)),
@@ -68,15 +68,15 @@
 	return f
 }
 
-// patience bounds every wait; it is far above what any of them takes.
-const patience = 40 * time.Second
+// waitLimit bounds every wait; it is far above the time that any condition takes.
+const waitLimit = 40 * time.Second
 
 func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitLimit)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -109,8 +109,8 @@
 	return resp, string(body)
 }
 
-// openStream begins a streamed answer at one entry VM and reads its first
-// bytes.
+// openStream starts a streamed answer through one entry VM and returns the response and the
+// first bytes of its body.
 func openStream(t *testing.T, address, work string, tokens int) (*http.Response, string) {
 	t.Helper()
 	raw, err := json.Marshal(engine.Prompt{Work: work, Prefix: "p", Prompt: 16, Tokens: tokens})
@@ -135,7 +135,7 @@
 	return resp, string(first[:n])
 }
 
-// wholeStream is the answer that belongs to a work.
+// wholeStream returns the complete answer that belongs to a work id.
 func wholeStream(work string, tokens int) string {
 	var b strings.Builder
 	for n := range tokens {
@@ -145,7 +145,7 @@
 	return b.String()
 }
 
-func ticket(t *testing.T, f *fleet.Fleet) (key string, holder vm.ID) {
+func ticket(t *testing.T, f *fleet.Fleet) (key string, agentVM vm.ID) {
 	t.Helper()
 	answer, err := caller(f).Entries(context.Background(), "archive", 1)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return answer.Tickets[0], ticketVM(t, answer.Tickets[0])
 }
 
-// runs returns how many executions there were on one backend server.
+// runs returns the number of executions on one backend server.
 func runs(f *fleet.Fleet, id vm.ID) int {
 	n := 0
 	for _, e := range f.Ledger.Executions() {
--- a/standin/e2e/limits_test.go
+++ b/standin/e2e/limits_test.go
@@ -16,8 +16,7 @@
 	"baywall.example/standin/fleet"
 )
 
-// tryStream asks for a stream on behalf of a team and returns the response with
-// its body still open.
+// tryStream requests a stream for a team and returns the response with its body open.
 func tryStream(t *testing.T, address, team, work string, tokens int) *http.Response {
 	t.Helper()
 	raw, _ := json.Marshal(engine.Prompt{Work: work, Prefix: "p", Prompt: 16, Tokens: tokens})
@@ -34,25 +33,24 @@
 	return resp
 }
 
-// A team asks for far more than its limit, everything through one entry VM
-// first, then through all. It gets most of its limit at the one, never more than
-// the limit over all, and refusals that say when to come back; another team is
-// not held up.
-func TestATeamsLimitHoldsOverAllEntryVMs(t *testing.T) {
+// A team requests far more than its concurrency limit, first through one entry VM, then
+// through all. It gets more than the base share of its limit through the one, and never more
+// than the limit through all; refusals say when to retry. Another team is not affected.
+func TestTeamLimitHoldsAcrossEntryVMs(t *testing.T) {
 	is := is.New(t)
 	s := site()
 	const limit = 24
 	s.Teams = map[string]resource.Team{"red": {Concurrency: limit}, "blue": {Concurrency: limit}}
 	f := start(t, s)
-	// A grantor that has seen the fleet for less than a lease grants nothing.
-	await(t, "a grantor gives more than the base share", func() bool { return admitted(t, f, f.Entries()[1:2], 1, 10) >= 8 })
+	// A grantor grants nothing until it has been the team's grantor for the time of a lease.
+	await(t, "a grantor grants more than the base share", func() bool { return admitted(t, f, f.Entries()[1:2], 1, 10) >= 8 })
 	await(t, "the limit is reached", func() bool {
 		n := admitted(t, f, f.Entries(), 600, 3*limit)
 		is.True(n <= limit)
 		return n > limit/2
 	})
 	refused := tryStream(t, f.Entries()[0], "red", "more", 5)
-	for refused.StatusCode == http.StatusOK { // the last lease may leave some room
+	for refused.StatusCode == http.StatusOK { // the last lease may leave some free quota
 		refused = tryStream(t, f.Entries()[0], "red", "more", 600)
 	}
 	is.Equal(refused.StatusCode, http.StatusTooManyRequests)
@@ -60,8 +58,8 @@
 	is.True(refused.Header.Get("Retry-After") != "")
 	is.Equal(tryStream(t, f.Entries()[0], "blue", "other", 5).StatusCode, http.StatusOK)
 
-	// A refusal of an entry VM promises nothing about a ticket: it may have been
-	// presented before, as it is here.
+	// A refusal by an entry VM does not prove that the ticket's work has not run, as
+	// the ticket may have been presented before, and here it has been.
 	key, _ := ticket(t, f)
 	resp, _ := post(t, f.Entries()[1], "archive", "certificate", key)
 	if resp.StatusCode == http.StatusTooManyRequests {
@@ -71,7 +69,7 @@
 	is.Equal(resp.StatusCode, http.StatusNotFound)
 	is.Equal(resp.Header.Get(api.HeaderOutcome), "unknown")
 
-	// The time line says why.
+	// The timeline contains the reason of the refusal.
 	id := refused.Header.Get(api.HeaderRequestID)
 	events := timelineOf(t, f, "request="+id).Events
 	is.Equal(len(events), 1)
@@ -79,8 +77,8 @@
 	is.True(strings.Contains(events[0].Reason, "team-limit"))
 }
 
-// admitted sends requests of team red through the entry VMs in turn, and
-// returns how many were let in.
+// admitted sends concurrent requests of team red, distributed round-robin over the entry VMs,
+// and returns how many were admitted.
 func admitted(t *testing.T, f *fleet.Fleet, entries []string, tokens, requests int) int {
 	t.Helper()
 	results := make([]bool, requests)
--- a/standin/e2e/maps_test.go
+++ b/standin/e2e/maps_test.go
@@ -27,8 +27,8 @@
 	return answer
 }
 
-// keepBusy sends streams until the returned function is called, as a group
-// without tokens has nothing to plan for.
+// keepBusy sends streams until the returned function is called, because no map is planned
+// for a group that computes no tokens.
 func keepBusy(t *testing.T, f *fleet.Fleet) (stop func()) {
 	t.Helper()
 	done, quit := make(chan struct{}), make(chan struct{})
@@ -47,7 +47,7 @@
 	return func() { close(quit); <-done }
 }
 
-func TestTheMapIsSwitchedInOneStepAndTheTimeLineSaysWhy(t *testing.T) {
+func TestMapSwitchIsAtomicAndInTimeline(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
 	stop := keepBusy(t, f)
@@ -73,16 +73,16 @@
 	is.True(committed >= 4)
 }
 
-// The coordinator is killed, then its successor is paused; others take over, and
-// no step runs with mixed maps.
-func TestTheGroupSurvivesItsCoordinators(t *testing.T) {
+// The coordinator of a group is killed, then its successor is paused. Other ranks take over,
+// and no step runs with different maps on different ranks.
+func TestGroupSurvivesCoordinatorFailures(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
 	stop := keepBusy(t, f)
 	defer stop()
 	group := f.Groups["chat"]
 	await(t, "a first switch", func() bool { return group.Stats().Version > 1 })
-	leader := func() vm.ID {
+	coordinator := func() vm.ID {
 		var last vm.ID
 		for _, e := range timelineOf(t, f, "group=chat&limit=5000").Events {
 			if e.Kind == timeline.KindLead {
@@ -91,13 +91,13 @@
 		}
 		return last
 	}
-	first := leader()
+	first := coordinator()
 	f.Process(first).Kill()
-	await(t, "another rank leads", func() bool { l := leader(); return l != "" && l != first })
-	second := leader()
+	await(t, "another rank leads", func() bool { l := coordinator(); return l != "" && l != first })
+	second := coordinator()
 	is.NoErr(f.Process(first).Restart())
 	f.Process(second).Pause()
-	await(t, "a third rank leads", func() bool { l := leader(); return l != "" && l != second })
+	await(t, "a third rank leads", func() bool { l := coordinator(); return l != "" && l != second })
 	f.Process(second).Continue()
 	steps := 0
 	await(t, "the group goes on stepping", func() bool { steps += group.Stats().Steps; return steps > 100 })
--- a/standin/e2e/outcomes_test.go
+++ b/standin/e2e/outcomes_test.go
@@ -28,7 +28,7 @@
 	return parsed.VM
 }
 
-func TestRequestsAreServedAndRefusalsSayWhy(t *testing.T) {
+func TestRequestsAreServedAndRefusalsGiveReasons(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
 	report := load.Run(t.Context(), caller(f), f.Ledger, load.Options{
@@ -56,8 +56,8 @@
 	is.Equal(f.Ledger.Runs("w"), 1)
 }
 
-// The same ticket through every entry VM at once runs the work once, and all
-// get the answer.
+// The same ticket presented through every entry VM at once runs the work once, and all
+// callers get the answer.
 func TestATicketSentThroughEveryEntryVMRunsOnce(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
@@ -77,33 +77,33 @@
 func TestATicketOfAReplacedAgentIsUnknown(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
-	key, holder := ticket(t, f)
+	key, agentVM := ticket(t, f)
 	_, body := post(t, f.Entries()[0], "archive", "certificate", key)
 	is.Equal(body, "document certificate\n")
-	f.Process(holder).Kill()
-	is.NoErr(f.Process(holder).Restart())
+	f.Process(agentVM).Kill()
+	is.NoErr(f.Process(agentVM).Restart())
 	await(t, "the new agent answers for the old ticket", func() bool {
 		resp, _ := post(t, f.Entries()[1], "archive", "certificate", key)
-		is.Equal(resp.Header.Get(api.HeaderOutcome), "unknown") // at any time, reached or not
+		is.Equal(resp.Header.Get(api.HeaderOutcome), "unknown") // whether the agent is reached or not
 		return resp.Header.Get(api.HeaderReason) == "agent-replaced"
 	})
 	is.Equal(f.Ledger.Runs("certificate"), 1)
 }
 
-// A paused agent leaves the caller without proof. Once it wakes, the same
-// ticket brings the answer of the one execution, or the proof that there was and
-// will be none, and it stays at that.
+// While an agent is paused, its ticket's outcome is unknown. After the agent resumes, the same
+// ticket returns the answer of the only execution, or not-run, which means that the work has
+// not run and never will. Later uses of the ticket return the same.
 func TestAPausedAgentThatWakesLate(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
-	key, holder := ticket(t, f)
-	f.Process(holder).Pause()
+	key, agentVM := ticket(t, f)
+	f.Process(agentVM).Pause()
 	resp, _ := post(t, f.Entries()[0], "archive", "note", key)
 	is.Equal(resp.Header.Get(api.HeaderOutcome), "unknown")
 	is.True(resp.Header.Get("Retry-After") != "")
-	f.Process(holder).Continue()
+	f.Process(agentVM).Continue()
 	answered := false
-	await(t, "the ticket brings its answer or a proof", func() bool {
+	await(t, "the ticket returns its answer or not-run", func() bool {
 		resp, body := post(t, f.Entries()[1], "archive", "note", key)
 		answered = body == "document note\n"
 		return answered || resp.Header.Get(api.HeaderOutcome) == "not-run"
@@ -118,9 +118,9 @@
 	is.Equal(f.Ledger.Runs("note"), 0)
 }
 
-// A pause hits requests without a ticket as well: what is refused as not-run
-// never runs, also after the agent woke with the request in its buffers.
-func TestWhatWasGivenUpDoesNotRunLater(t *testing.T) {
+// A request without a ticket that was refused as not-run while its agent was paused must never
+// run, even if the agent resumes with the request in its buffers.
+func TestRequestRefusedAsNotRunNeverRuns(t *testing.T) {
 	is := is.New(t)
 	s := site()
 	s.Services[1].Runners = 1
@@ -138,12 +138,12 @@
 	is.True(f.Ledger.Runs("late") <= 1)
 }
 
-func TestAnAnswerIsResumedAfterItsEntryVMDied(t *testing.T) {
+func TestAnswerIsResumedAfterEntryVMCrash(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
 	const tokens = 200
 	resp, got := openStream(t, f.Entries()[0], "summary", tokens)
-	place := resp.Header.Get(api.HeaderAttempt)
+	attemptID := resp.Header.Get(api.HeaderAttempt)
 	f.Process("entry-1").Kill()
 	rest, _ := io.ReadAll(resp.Body)
 	got += string(rest)
@@ -151,8 +151,8 @@
 
 	req, err := http.NewRequest(http.MethodGet, "http://"+f.Entries()[1]+"/v1/resume", nil)
 	is.NoErr(err)
-	req.Header.Set(api.HeaderAttempt, place)
-	whole := got[:strings.LastIndex(got, "\n\n")+2] // up to the last whole event
+	req.Header.Set(api.HeaderAttempt, attemptID)
+	whole := got[:strings.LastIndex(got, "\n\n")+2] // up to the end of the last complete event
 	lines := strings.Split(strings.TrimSpace(whole), "\n")
 	last := strings.TrimPrefix(lines[len(lines)-2], "id: ")
 	req.Header.Set("Last-Event-ID", last)
@@ -165,8 +165,8 @@
 	is.Equal(f.Ledger.Runs("summary"), 1)
 }
 
-// Both programs stop gracefully with streams in flight; no answer is cut.
-func TestGracefulStopsCutNothing(t *testing.T) {
+// When both programs stop gracefully with streams in flight, no answer is truncated.
+func TestGracefulStopTruncatesNoAnswer(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
 	const tokens = 300
@@ -193,14 +193,14 @@
 	}
 }
 
-// A leaving backend server gets nothing new once every entry VM has the list,
-// and what it holds is finished.
-func TestALeavingBackendServerGetsNothingNew(t *testing.T) {
+// A leaving backend server gets no new requests once every entry VM has the list of VMs, and
+// its running requests are finished.
+func TestLeavingBackendServerGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
 	f := start(t, site())
 	resp, first := openStream(t, f.Entries()[0], "held", 300)
-	holder := vm.ID(strings.Split(resp.Header.Get(api.HeaderAttempt), "/")[0])
-	f.SetState(holder, vm.StateLeaving)
+	agentVM := vm.ID(strings.Split(resp.Header.Get(api.HeaderAttempt), "/")[0])
+	f.SetState(agentVM, vm.StateLeaving)
 	await(t, "every entry VM has the list", func() bool {
 		for _, address := range f.Entries() {
 			if vmsRevision(address) < f.Platform.Revision() {
@@ -209,20 +209,21 @@
 		}
 		return true
 	})
-	before := runs(f, holder)
+	before := runs(f, agentVM)
 	report := load.Run(t.Context(), caller(f), f.Ledger, load.Options{
 		Seed: 2, Duration: time.Second,
 		Workloads: []load.Workload{{Service: "chat", Stream: true, Teams: []string{"blue"}, Rate: 100, Prefixes: 16, Prompt: 16, Tokens: 4}},
 	})
 	is.Equal(report.Answered, report.Requests)
-	is.Equal(runs(f, holder), before)
+	is.Equal(runs(f, agentVM), before)
 	rest, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
 	is.Equal(first+string(rest), wholeStream("held", 300))
 }
 
-// Random faults from a printed seed; the history of what callers were told and
-// what ran is legal, and no entry VM's configuration went back.
+// Under random faults from a fixed seed, which is logged, the outcomes that callers got must be
+// consistent with the executions, and no entry VM may return to an older configuration
+// revision.
 func TestHistoryUnderFaultsIsLegal(t *testing.T) {
 	is := is.New(t)
 	const seed = 7
@@ -235,8 +236,8 @@
 		watchers.Go(func() { observe(seen, address, stop) })
 	}
 	const duration = 10 * time.Second
-	var faulty conc.WaitGroup
-	faulty.Go(func() { chaos.New(f, seed, append(chaos.Abrupt(), chaos.Graceful()...), t.Logf).Run(duration) })
+	var faults conc.WaitGroup
+	faults.Go(func() { chaos.New(f, seed, append(chaos.Abrupt(), chaos.Graceful()...), t.Logf).Run(duration) })
 	report := load.Run(t.Context(), caller(f), f.Ledger, load.Options{
 		Seed: seed, Duration: duration,
 		Workloads: []load.Workload{
@@ -244,7 +245,7 @@
 			{Service: "archive", NonIdempotent: true, Teams: []string{"blue"}, Rate: 60},
 		},
 	})
-	faulty.Wait()
+	faults.Wait()
 	close(stop)
 	watchers.Wait()
 	t.Logf("requests %d, answered %d, not-run %d, unknown %d, cut %d, revisions seen %d", report.Requests, report.Answered, report.NotRun, report.Unknown, report.Cut, seen.Len())
@@ -257,7 +258,7 @@
 	}
 }
 
-// observe records an entry VM's revision again and again.
+// observe records an entry VM's revision every 20 ms until stop is closed.
 func observe(seen *history.Revisions, address string, stop <-chan struct{}) {
 	for {
 		select {
--- a/standin/e2e/path_bench_test.go
+++ b/standin/e2e/path_bench_test.go
@@ -19,8 +19,8 @@
 	"baywall.example/standin/platform"
 )
 
-// BenchmarkPath sends small plain calls through an entry VM and an agent that
-// run in this process, so that one profile shows the whole path.
+// BenchmarkPath sends small calls of a plain service through an entry VM and an agent that run
+// in this process, so that one profile covers both.
 func BenchmarkPath(b *testing.B) {
 	p := platform.New()
 	base, err := p.Serve("127.34.254.1:9000")
--- a/standin/e2e/ratelimit_test.go
+++ b/standin/e2e/ratelimit_test.go
@@ -15,9 +15,10 @@
 	"baywall.example/standin/fleet"
 )
 
-// press posts at a rate through all entry VMs in turn for a time, and returns how many were
-// answered, and how many refused for the limits that backend servers name.
-func press(t *testing.T, f *fleet.Fleet, perSecond int, d time.Duration) (answered, limited int64) {
+// postAtRate sends requests at a constant rate, round-robin through all entry VMs. It returns
+// how many were answered, and how many were refused because of the rate limits that the
+// backend servers report.
+func postAtRate(t *testing.T, f *fleet.Fleet, perSecond int, d time.Duration) (answered, limited int64) {
 	t.Helper()
 	var ok, refused atomic.Int64
 	var wg conc.WaitGroup
@@ -43,17 +44,18 @@
 	return ok.Load(), refused.Load()
 }
 
-// The agent through which all requests to a backend server go keeps the limit that it names;
-// the others take the rest, and what none can take is refused as not run.
-func TestAgentsKeepTheLimitsOfTheirBackendServers(t *testing.T) {
+// All requests to a backend server pass through its agent, which enforces the rate limit that
+// the server reports. Other backend servers get the requests above it, and requests above all
+// limits are refused as not run.
+func TestAgentsEnforceBackendServerRateLimits(t *testing.T) {
 	is := is.New(t)
 	s := site()
 	s.Services = []fleet.ServiceSite{{Name: "status", Runners: 3, Spec: resource.Service{}, Delay: time.Millisecond}}
 	f := start(t, s)
 	f.Plain["status"][0].Limit(1)
-	press(t, f, 40, 2*time.Second) // until it is known
+	postAtRate(t, f, 40, 2*time.Second) // until the limit is known
 	from := time.Now()
-	_, refused := press(t, f, 40, 5*time.Second)
+	_, refused := postAtRate(t, f, 40, 5*time.Second)
 	is.Equal(refused, int64(0))
 	got := 0
 	for _, e := range f.Ledger.Executions() {
@@ -67,8 +69,8 @@
 	for _, server := range f.Plain["status"] {
 		server.Limit(2)
 	}
-	press(t, f, 40, 3*time.Second)
-	answered, refused := press(t, f, 40, 5*time.Second)
+	postAtRate(t, f, 40, 3*time.Second)
+	answered, refused := postAtRate(t, f, 40, 5*time.Second)
 	t.Logf("%d answered, %d refused in 5 s with limits of 6 a second together", answered, refused)
 	is.True(answered >= 18)
 	is.True(answered <= 30+6+1)
@@ -76,7 +78,7 @@
 	for _, server := range f.Plain["status"] {
 		server.Limit(0)
 	}
-	press(t, f, 40, 4*time.Second) // each is tried within three seconds
-	_, refused = press(t, f, 40, 2*time.Second)
+	postAtRate(t, f, 40, 4*time.Second) // every backend server is tried within three seconds
+	_, refused = postAtRate(t, f, 40, 2*time.Second)
 	is.Equal(refused, int64(0))
 }
--- a/standin/e2e/rest_test.go
+++ b/standin/e2e/rest_test.go
@@ -13,17 +13,17 @@
 	"baywall.example/standin/plain"
 )
 
-// restFleet is a fleet with a plain service.
-func restFleet(t *testing.T, servers int) *fleet.Fleet {
+// plainFleet starts a fleet with one plain service.
+func plainFleet(t *testing.T, servers int) *fleet.Fleet {
 	t.Helper()
 	s := site()
 	s.Services = []fleet.ServiceSite{{Name: "status", Runners: servers, Spec: resource.Service{}, Delay: time.Millisecond}}
 	return start(t, s)
 }
 
-// ask posts through all entry VMs in turn, one request after the other for a time, and returns the
-// answers by status and reason.
-func ask(t *testing.T, f *fleet.Fleet, d time.Duration) map[string]int {
+// postFor sends one request after another for the given time, round-robin through all entry VMs,
+// and returns the number of responses by status, reason and outcome.
+func postFor(t *testing.T, f *fleet.Fleet, d time.Duration) map[string]int {
 	t.Helper()
 	out := make(map[string]int)
 	entries := f.Entries()
@@ -35,72 +35,75 @@
 	return out
 }
 
-const answered, atRest = "OK  ", "Service Unavailable rest not-run"
+const answered, refusedForBackoff = "OK  ", "Service Unavailable rest not-run"
 
-// The agent hands nothing over while its backend server rests, and the others take the work.
-func TestAgentsKeepTheRestsOfTheirBackendServers(t *testing.T) {
+// An agent sends no requests to its backend server during the backoff that the server asked for;
+// the other backend servers get them.
+func TestAgentsHonorBackendServerBackoff(t *testing.T) {
 	is := is.New(t)
-	f := restFleet(t, 3)
-	resting := f.Plain["status"][0]
-	is.Equal(len(ask(t, f, time.Second)), 1)
-	before := resting.Reached()
-	resting.Rest(30 * time.Second)
-	ends := ask(t, f, 3*time.Second)
+	f := plainFleet(t, 3)
+	backingOff := f.Plain["status"][0]
+	is.Equal(len(postFor(t, f, time.Second)), 1)
+	before := backingOff.Reached()
+	backingOff.Rest(30 * time.Second)
+	ends := postFor(t, f, 3*time.Second)
 	t.Logf("ended as %v", ends)
-	is.Equal(resting.Reached()-before, int64(1)) // which asks for rest
+	is.Equal(backingOff.Reached()-before, int64(1)) // the one whose response asks for the backoff
 	is.Equal(ends[answered]+ends["Service Unavailable  "], sum(ends))
 }
 
-// While all backend servers rest, requests are refused as not run and asked back.
-func TestWhileAllBackendServersOfAgentsRest(t *testing.T) {
+// While all backend servers are in backoff, requests are refused as not run, and no request
+// reaches a backend server.
+func TestRequestsAreRefusedWhileAllBackendServersBackOff(t *testing.T) {
 	is := is.New(t)
-	f := restFleet(t, 2)
-	is.Equal(len(ask(t, f, time.Second)), 1)
+	f := plainFleet(t, 2)
+	is.Equal(len(postFor(t, f, time.Second)), 1)
 	for _, s := range f.Plain["status"] {
 		s.Rest(2 * time.Second)
 	}
-	for ask(t, f, 100*time.Millisecond)[atRest] == 0 {
+	for postFor(t, f, 100*time.Millisecond)[refusedForBackoff] == 0 {
 	}
 	for _, s := range f.Plain["status"] {
 		s.Rest(0)
 	}
 	before := f.Plain["status"][0].Reached() + f.Plain["status"][1].Reached()
-	ends := ask(t, f, time.Second)
-	is.Equal(ends[atRest], sum(ends))
+	ends := postFor(t, f, time.Second)
+	is.Equal(ends[refusedForBackoff], sum(ends))
 	is.Equal(f.Plain["status"][0].Reached()+f.Plain["status"][1].Reached(), before)
 	time.Sleep(2 * time.Second)
-	is.Equal(ask(t, f, time.Second)[atRest], 0)
+	is.Equal(postFor(t, f, time.Second)[refusedForBackoff], 0)
 }
 
-// A backend server that says that it leaves gets nothing new from its agent.
-func TestAgentsHeedThatTheirBackendServerLeaves(t *testing.T) {
+// A backend server that reports that it is leaving gets no new requests from its agent.
+func TestAgentSendsNothingNewToLeavingBackendServer(t *testing.T) {
 	is := is.New(t)
-	f := restFleet(t, 2)
-	is.Equal(len(ask(t, f, time.Second)), 1)
+	f := plainFleet(t, 2)
+	is.Equal(len(postFor(t, f, time.Second)), 1)
 	leaving := f.Plain["status"][0]
 	before := leaving.Reached()
 	leaving.Leave()
-	ends := ask(t, f, 2*time.Second)
-	is.Equal(leaving.Reached()-before, int64(1)) // whose answer says so
+	ends := postFor(t, f, 2*time.Second)
+	is.Equal(leaving.Reached()-before, int64(1)) // the one whose response reports it
 	is.Equal(ends[answered], sum(ends))
 }
 
-// Another process at the address of a backend server that rested and left owes nothing to it.
-func TestABackendServerThatStartsAgainOwesNoRest(t *testing.T) {
+// The backoff and the leaving state of a backend server do not apply to a new process at the same
+// address.
+func TestBackendServerRestartClearsBackoff(t *testing.T) {
 	is := is.New(t)
-	f := restFleet(t, 1)
-	is.Equal(len(ask(t, f, time.Second)), 1)
+	f := plainFleet(t, 1)
+	is.Equal(len(postFor(t, f, time.Second)), 1)
 	ended := f.Plain["status"][0]
 	ended.Rest(time.Hour)
-	for ask(t, f, 100*time.Millisecond)[atRest] == 0 {
+	for postFor(t, f, 100*time.Millisecond)[refusedForBackoff] == 0 {
 	}
-	ended.Leave() // nobody hears it any more
+	ended.Leave() // not reported, as no request reaches the server
 	ended.Close()
-	time.Sleep(time.Second) // it is looked for each half a second
+	time.Sleep(time.Second) // the agent checks the address every half second
 	next, err := plain.Serve(ended.Address(), f.Ledger, time.Millisecond)
 	is.NoErr(err)
 	defer next.Close()
-	is.True(ask(t, f, time.Second)[answered] > 0)
+	is.True(postFor(t, f, time.Second)[answered] > 0)
 }
 
 func sum(ends map[string]int) (n int) {
