--- a/standin/soak/cmd/soak/config.go
+++ b/standin/soak/cmd/soak/config.go
@@ -8,29 +8,29 @@
 	"baywall.example/platform/standin"
 )
 
-// Paths of the lasting routes.
+// Path prefixes of the routes that are in every configuration version.
 const (
 	safePath   = "/safe/"
 	unsafePath = "/unsafe/"
 	streamPath = "/stream/"
 )
 
-// config is the published configuration. Each version adds a route of its own and
-// drops the one of two versions ago.
+// config publishes the configuration. Each version adds a route of its own and removes
+// the route that the version two before it added.
 type config struct {
 	author *standin.Author
-	cold   standin.Service // what the plain service's backend servers bear after a start
+	cold   standin.Service // load limit of the plain service's backend servers after a start
 
 	mu      sync.Mutex
 	version uint64
-	at      time.Time // when the present version was published
+	at      time.Time // when the current version was published
 }
 
 func newConfig(author *standin.Author, cold standin.Service) *config {
 	return &config{author: author, cold: cold}
 }
 
-// versionPath is the path of the route that a version adds.
+// versionPath returns the path prefix of the route that a version adds.
 func versionPath(version uint64) string { return fmt.Sprintf("/v%d/", version) }
 
 // publish publishes the next version.
@@ -58,7 +58,7 @@
 	c.at = time.Now()
 }
 
-// current returns the present version and when it was published.
+// current returns the current version and when it was published.
 func (c *config) current() (uint64, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/standin/soak/cmd/soak/evacuation.go
+++ b/standin/soak/cmd/soak/evacuation.go
@@ -8,24 +8,26 @@
 	"baywall.example/platform/standin"
 )
 
-// coldKinds is the number of kinds of faults from which backend servers of the plain service
-// are cold after each start: a seed with fewer goes on to decide the same world.
+// coldKinds is the smallest number of fault kinds with which backend servers of the plain
+// service are cold after each start. With fewer kinds they are not, so that a seed recorded
+// then still produces the same run.
 const coldKinds = 21
 
 const (
-	// coldTime is for how long a backend server is cold after its start, coldPerSecond how
-	// many requests a second it bears then.
+	// coldTime is how long a backend server is cold after its start; coldPerSecond is how
+	// many requests a second it can handle during that time.
 	coldTime      = 2 * time.Second
 	coldPerSecond = 8.0
-	// evacuationTime is for how long an availability zone is evacuated, at least: its
-	// servers have to get nothing before it is taken back.
+	// evacuationTime is the minimum time for which an availability zone is evacuated: its
+	// servers must have stopped receiving requests before the evacuation is lifted.
 	evacuationTime = 4 * time.Second
 )
 
-// bears is how many requests a cold backend server bears in a second.
-const bears = 1.5*coldPerSecond + 5
+// coldLimit is how many requests a cold backend server may receive in a second.
+const coldLimit = 1.5*coldPerSecond + 5
 
-// cold returns what the plain service's backend servers bear after a start.
+// cold returns the cold-start settings of the plain service, empty if its backend servers
+// are not cold after a start.
 func (o options) cold() standin.Service {
 	if o.kinds != 0 && o.kinds < coldKinds {
 		return standin.Service{}
@@ -33,7 +35,7 @@
 	return standin.Service{ColdS: coldTime.Seconds(), ColdPerS: coldPerSecond}
 }
 
-// evacuate empties an availability zone for a while, unless that is so already.
+// evacuate evacuates an availability zone for a while, unless it is evacuated already.
 func (f *faults) evacuate(ctx context.Context, d draw) {
 	z := zone(d.which)
 	f.mu.Lock()
@@ -65,8 +67,8 @@
 	f.evacuated[z] = false
 }
 
-// checkCold looks for backend servers that got more requests in a second after their start
-// than they bear.
+// checkCold reports backend servers that received more than coldLimit requests in a second
+// while they were cold.
 func (r *report) checkCold(w *world) {
 	if w.cold.ColdPerS == 0 {
 		return
@@ -75,16 +77,16 @@
 		if b.service != plainService {
 			continue
 		}
-		for _, runner := range b.all {
-			if most := mostInSecond(runner.Arrivals(), runner.Started()); float64(most) > bears {
-				r.breakf("%s got %d requests in a second while it was cold, bears %g", runner.ID, most, bears)
+		for _, runner := range b.incarnations {
+			if most := mostInSecond(runner.Arrivals(), runner.Started()); float64(most) > coldLimit {
+				r.violatedf("%s received %d requests in a second while it was cold, allowed %g", runner.ID, most, coldLimit)
 			}
 		}
 	}
 }
 
-// mostInSecond returns the most requests in any second of the time for which a backend server
-// is cold.
+// mostInSecond returns the largest number of requests in any one-second window while a
+// backend server is cold.
 func mostInSecond(got []standin.Arrival, started time.Time) int {
 	most, first := 0, 0
 	for i, a := range got {
--- a/standin/soak/cmd/soak/faults.go
+++ b/standin/soak/cmd/soak/faults.go
@@ -13,53 +13,53 @@
 	"baywall.example/platform/standin"
 )
 
-// faults plays the faults that a seed decides.
+// faults injects the faults that a seed determines and records when they were in force.
 type faults struct {
 	world   *world
 	load    *load
 	verbose bool
 	pending sync.WaitGroup
 
-	mu       sync.Mutex
-	injected map[string]int
-	lethal   []standin.Attempt
-	rough    []span                 // while something other than planned work went on
-	stopping map[string][]time.Time // of gateways by front, when they were told to stop
-	paused   map[string][]span      // of gateways by front
-	harmed   map[*relay][]span      // while what was sent there was held back or lost
+	mu          sync.Mutex
+	injected    map[string]int
+	lethal      []standin.Attempt
+	disruptions []span                 // while a fault that callers may notice was in force
+	stopping    map[string][]time.Time // when gateways were told to stop, by front address
+	paused      map[string][]span      // while gateways were paused, by front address
+	impaired    map[*relay][]span      // while bytes sent through the relay were delayed or lost
 
 	evacuated map[string]bool // availability zones
 }
 
-// span is a time in which a fault was in force.
+// span is a period during which a fault was in force.
 type span struct{ from, to time.Time }
 
-// fault is a kind of fault; play returns when it is over.
+// fault is a kind of fault. Its play function returns when the fault is over.
 type fault struct {
 	name    string
-	planned bool // nobody may notice it
+	planned bool // planned work, which callers must not notice
 	play    func(f *faults, ctx context.Context, d draw)
 }
 
-// draw are the random choices of one fault, made when it is planned so that a
-// seed decides them all.
+// draw holds the random choices of one fault. They are all drawn before the fault is
+// injected, so that the seed alone determines them.
 type draw struct {
-	which    int // of the things that fit
+	which    int // selects the target, modulo the number of candidates
 	duration time.Duration
 	variant  int
 }
 
 const (
-	// leastGap and gapSpread are between the begins of two faults, so that they
-	// overlap: they last up to longestFault.
-	leastGap     = 100 * time.Millisecond
-	gapSpread    = 900 * time.Millisecond
-	leastFault   = 200 * time.Millisecond
-	longestFault = 3 * time.Second
+	// minGap and gapSpread determine the time between the starts of two faults: between
+	// minGap and minGap+gapSpread. Faults last up to maxFault, so that they overlap.
+	minGap    = 100 * time.Millisecond
+	gapSpread = 900 * time.Millisecond
+	minFault  = 200 * time.Millisecond
+	maxFault  = 3 * time.Second
 )
 
-// kinds are all kinds of faults. New ones come last: a seed goes on to decide the same
-// faults if it is run with as many kinds as there were.
+// kinds lists all kinds of faults. New kinds are appended, so that a seed still produces
+// the same faults when it is run with the number of kinds that it was recorded with.
 var kinds = []fault{
 	{"gateway told to stop", true, (*faults).stopGateway},
 	{"settings touched (HUP)", true, (*faults).hup},
@@ -80,10 +80,10 @@
 	{"store history dropped", false, (*faults).compactStore},
 	{"lethal request", false, (*faults).sendLethal},
 	{"store back from an older copy", false, (*faults).returnStore},
-	{"limit named", true, (*faults).nameLimit},
+	{"limit named", true, (*faults).announceLimit},
 	{"availability zone evacuated", true, (*faults).evacuate},
-	{"rest asked by one", true, (*faults).askForRest},
-	{"rest asked by all of a service", true, (*faults).askForRestOfAll},
+	{"rest asked by one", true, (*faults).askForBackoff},
+	{"rest asked by all of a service", true, (*faults).askForBackoffOfService},
 	{"leaving told in answers", true, (*faults).leaveByAnswer},
 }
 
@@ -98,8 +98,9 @@
 	return out
 }
 
-// play plans and injects faults for a while, of the first kinds as far as a number is
-// given, 0 = of all; with a focus half of them are of that.
+// play injects faults for o.length and waits until they are over. If o.kinds is not 0, it
+// uses only that many kinds from the start of the list. With o.focus, half of the faults
+// are of the kinds in focus.
 func (f *faults) play(ctx context.Context, o options) {
 	among := o.kinds
 	if among == 0 {
@@ -111,7 +112,7 @@
 	}
 	f.stopping = make(map[string][]time.Time)
 	f.paused = make(map[string][]span)
-	f.harmed = make(map[*relay][]span)
+	f.impaired = make(map[*relay][]span)
 	f.evacuated = make(map[string]bool)
 	rnd := f.world.rnd
 	for end := time.Now().Add(o.length); time.Now().Before(end) && ctx.Err() == nil; {
@@ -121,10 +122,10 @@
 		}
 		d := draw{
 			which:    rnd.IntN(1 << 20),
-			duration: leastFault + time.Duration(rnd.Int64N(int64(longestFault-leastFault))),
+			duration: minFault + time.Duration(rnd.Int64N(int64(maxFault-minFault))),
 			variant:  rnd.IntN(3),
 		}
-		gap := leastGap + time.Duration(rnd.Int64N(int64(gapSpread)))
+		gap := minGap + time.Duration(rnd.Int64N(int64(gapSpread)))
 		f.pending.Add(1)
 		go func() {
 			defer f.pending.Done()
@@ -149,15 +150,15 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rough = append(f.rough, span{from, time.Now()})
+	f.disruptions = append(f.disruptions, span{from, time.Now()})
 }
 
-// roughSince reports whether a fault that callers may notice was in force between
+// disruptedBetween reports whether a fault that callers may notice was in force between
 // two times.
-func (f *faults) roughBetween(from, to time.Time) bool {
+func (f *faults) disruptedBetween(from, to time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.rough {
+	for _, s := range f.disruptions {
 		if s.from.Before(to) && s.to.After(from) {
 			return true
 		}
@@ -165,7 +166,7 @@
 	return false
 }
 
-// heal ends everything that is still in force.
+// heal ends all faults that are still in force.
 func (f *faults) heal(context.Context) {
 	w := f.world
 	w.store.SetMode(standin.StoreServes)
@@ -202,11 +203,11 @@
 	}
 }
 
-// drainNotice is how long a leaving backend server goes on serving.
+// drainNotice is how long a leaving backend server continues to serve requests.
 const drainNotice = 4 * time.Second
 
-// replaceBackend publishes a backend server as leaving, and puts a new one in its
-// place when it is gone.
+// replaceBackend publishes that a backend server leaves, and replaces it by a new one
+// once it has ended.
 func (f *faults) replaceBackend(ctx context.Context, d draw) {
 	i := d.which % len(f.world.backends)
 	if f.world.backends[i].group != nil {
@@ -223,8 +224,8 @@
 	})
 }
 
-// replace has a backend server say that it leaves, and puts a new incarnation in its place when it
-// is gone: under its id if that is given.
+// replace calls leave on a backend server, ends it after drainNotice and starts a new
+// incarnation in its place, with the given id or, if it is empty, with a new one.
 func (f *faults) replace(ctx context.Context, i int, id string, leave func(*standin.Runner)) {
 	w := f.world
 	b := w.backends[i]
@@ -233,7 +234,7 @@
 	wait.Sleep(ctx, drainNotice)
 	w.author.Delete(standin.ServerPrefix + r.ID)
 	if b.current() != r {
-		return // it crashed meanwhile
+		return // it has crashed in the meantime
 	}
 	r.Crash()
 	if err := w.startRunner(i, id); err != nil {
@@ -241,26 +242,26 @@
 	}
 }
 
-// awaitWritten waits until the store holds what was written and has been calm for the time of
-// contact: by the users' rules a backend server counts as leaving from when the store has told
-// so while it was stable. What it tells before may be lost again before anybody has heard it.
+// awaitWritten waits until the store holds the written entry and has been stable for
+// contactTime. By the users' rules a backend server counts as leaving once a stable store
+// has published it; a change made before that may be lost before any gateway has read it.
 func (f *faults) awaitWritten(ctx context.Context, key string) {
 	written := func() bool { return f.world.author.Holds(key) && f.world.store.Calm() >= contactTime }
 	for !written() && wait.Sleep(ctx, storePoll) {
 	}
 }
 
-// storePoll is how often it is looked whether the store holds an entry.
+// storePoll is the interval at which awaitWritten polls the store.
 const storePoll = 10 * time.Millisecond
 
 func (f *faults) killGateway(_ context.Context, d draw) {
 	g := f.gateway(d)
 	g.signal(syscall.SIGKILL)
-	f.notePause(g, time.Now())
+	f.recordPause(g, time.Now())
 }
 
-// notePause notes a time in which a gateway heard nothing.
-func (f *faults) notePause(g *gateway, from time.Time) {
+// recordPause records a period, ending now, in which a gateway received no updates.
+func (f *faults) recordPause(g *gateway, from time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.paused[g.front] = append(f.paused[g.front], span{from, time.Now()})
@@ -272,32 +273,34 @@
 	g.signal(syscall.SIGSTOP)
 	wait.Sleep(ctx, d.duration)
 	g.signal(syscall.SIGCONT)
-	f.notePause(g, from)
+	f.recordPause(g, from)
 }
 
-// noteHarm notes a time in which what was sent over a relay was held back or lost.
-func (f *faults) noteHarm(r *relay, from time.Time) {
+// recordImpairment records a period, ending now, in which bytes sent through a relay were
+// delayed or lost.
+func (f *faults) recordImpairment(r *relay, from time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.harmed[r] = append(f.harmed[r], span{from, time.Now()})
+	f.impaired[r] = append(f.impaired[r], span{from, time.Now()})
 }
 
-// harmedLately reports whether that was so at a time or within the time of contact before it.
-func (f *faults) harmedLately(r *relay, at time.Time) bool {
+// recentlyImpaired reports whether a relay was impaired at a time or within contactTime
+// before it.
+func (f *faults) recentlyImpaired(r *relay, at time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.ContainsFunc(f.harmed[r], func(s span) bool {
+	return slices.ContainsFunc(f.impaired[r], func(s span) bool {
 		return at.After(s.from) && at.Before(s.to.Add(contactTime))
 	})
 }
 
-// pausedLately reports whether the gateway was paused at a time, or shortly before: it
-// may not have heard yet what happened meanwhile.
-func (f *faults) pausedLately(front string, at time.Time) bool {
+// recentlyPaused reports whether a gateway was paused at a time or within catchUpTime
+// before it, so that it may not know yet what happened during the pause.
+func (f *faults) recentlyPaused(front string, at time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.ContainsFunc(f.paused[front], func(s span) bool {
-		return at.After(s.from) && at.Before(s.to.Add(wakingTime))
+		return at.After(s.from) && at.Before(s.to.Add(catchUpTime))
 	})
 }
 
@@ -312,25 +315,25 @@
 	a.signal(syscall.SIGCONT)
 }
 
-// crashBackend ends a backend server without notice; a new incarnation takes its
-// address. A rank's group is formed anew.
+// crashBackend ends a backend server without notice. A new incarnation is started at its
+// address; if the server is a rank, its group is formed again.
 func (f *faults) crashBackend(ctx context.Context, d draw) {
 	i := d.which % len(f.world.backends)
 	f.crash(ctx, i, f.world.backends[i].current(), d)
 }
 
-// crash ends an incarnation, once.
+// crash crashes an incarnation, unless it has crashed already, and starts the next one.
 func (f *faults) crash(ctx context.Context, i int, r *standin.Runner, d draw) {
 	w := f.world
 	b := w.backends[i]
-	if !b.ends(r) {
+	if !b.markCrashed(r) {
 		return
 	}
 	r.Crash()
 	b.relay.down() // its host refuses connections
 	wait.Sleep(ctx, d.duration/2)
 	if b.current() != r || w.ctx.Err() != nil {
-		return // replaced meanwhile
+		return // replaced in the meantime
 	}
 	if b.group != nil {
 		b.group.Form(b.rank)
@@ -338,7 +341,7 @@
 	if err := w.startRunner(i, ""); err != nil {
 		fmt.Println("  backend server not started:", err)
 	}
-	wait.Sleep(ctx, d.duration/2) // the old entry's lease
+	wait.Sleep(ctx, d.duration/2) // until the lease of the old entry expires
 	w.author.Delete(standin.ServerPrefix + r.ID)
 }
 
@@ -349,7 +352,7 @@
 }
 
 func (f *faults) silence(ctx context.Context, r *relay, d draw) {
-	defer f.noteHarm(r, time.Now())
+	defer f.recordImpairment(r, time.Now())
 	r.silence(d.variant != 1, d.variant != 2)
 	wait.Sleep(ctx, d.duration)
 	r.silence(false, false)
@@ -358,14 +361,14 @@
 func (f *faults) resetBackend(_ context.Context, d draw) {
 	r := f.backend(d).relay
 	r.reset()
-	f.noteHarm(r, time.Now())
+	f.recordImpairment(r, time.Now())
 }
 
 func (f *faults) silenceBackend(ctx context.Context, d draw) { f.silence(ctx, f.backend(d).relay, d) }
 
 func (f *faults) delayBackend(ctx context.Context, d draw) {
 	r := f.backend(d).relay
-	defer f.noteHarm(r, time.Now())
+	defer f.recordImpairment(r, time.Now())
 	r.delay(d.duration / 10)
 	wait.Sleep(ctx, d.duration)
 	r.delay(0)
@@ -383,11 +386,11 @@
 	f.world.store.SetMode(standin.StoreServes)
 }
 
-// mostLost bounds the changes that a copy of the store lacks.
-const mostLost = 12
+// maxLost bounds the number of latest changes that a restored copy of the store lacks.
+const maxLost = 12
 
-// returnStore has the store away for a moment and back from a copy that lacks its latest
-// changes; what was written since is written again.
+// returnStore makes the store unavailable for a moment and then restores it from a copy
+// that lacks its latest changes, which the author writes again.
 func (f *faults) returnStore(ctx context.Context, d draw) {
 	mode := standin.StoreBusy
 	if d.variant == 0 {
@@ -395,7 +398,7 @@
 	}
 	f.world.store.SetMode(mode)
 	wait.Sleep(ctx, d.duration/3)
-	f.world.store.Return(1 + d.which%mostLost)
+	f.world.store.Return(1 + d.which%maxLost)
 	f.world.store.SetMode(standin.StoreServes)
 }
 
--- a/standin/soak/cmd/soak/lethal.go
+++ b/standin/soak/cmd/soak/lethal.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// lethalTime is for how long a caller repeats a request that ends the backend servers
-	// which run it: some seconds longer than it takes until three have ended and all
-	// gateways have been in contact. lethalGap is between two of its attempts.
+	// lethalTime is how long a caller repeats a request that ends each backend server that
+	// runs it. It is some seconds longer than the time until three servers have ended and
+	// all gateways have exchanged state. lethalGap is the interval between its attempts.
 	lethalTime = 9 * time.Second
 	lethalGap  = 250 * time.Millisecond
-	// contactTime is for how long after the third end gateways may still send it, and
-	// mostLate how often afterwards: by the users' rules.
+	// contactTime is how long after the third server has ended gateways may still send the
+	// request, and maxLate how often it may be sent afterwards, both by the users' rules.
 	contactTime = 3 * time.Second
-	mostLate    = 3
+	maxLate     = 3
 )
 
-// sendLethal has a caller repeat a lethal request through gateways in turn.
+// sendLethal sends a lethal request repeatedly, through the gateways in turn.
 func (f *faults) sendLethal(ctx context.Context, d draw) {
 	kind, prefix := standin.KindStream, streamPath
 	switch d.variant {
@@ -41,7 +41,7 @@
 func (f *faults) sendOnce(sender *standin.Caller, g *gateway, id, kind, path string) {
 	conn, err := sender.Dial(g.front)
 	if err != nil {
-		return // the gateway is away
+		return // the gateway is down
 	}
 	defer conn.Close()
 	a, _ := sender.Send(conn, id, kind, path)
@@ -50,8 +50,9 @@
 	f.lethal = append(f.lethal, a)
 }
 
-// checkLethal looks for lethal requests that were sent to backend servers long after the
-// third one had ended, and for other requests that were taken for lethal ones.
+// checkLethal reports lethal requests that reached backend servers more than maxLate times
+// later than contactTime after the third server had ended, and other requests that were
+// quarantined as lethal.
 func (r *report) checkLethal(w *world, l *load, f *faults) {
 	sent := make(map[string]standin.Attempt, len(f.lethal))
 	for _, a := range f.lethal {
@@ -65,17 +66,17 @@
 		r.quarantined++
 		late := 0
 		for _, arrival := range seen.Arrivals {
-			if arrival.At.After(seen.Ends[2].Add(contactTime)) && !f.pausedLately(sent[arrival.ID].Gateway, arrival.At) {
+			if arrival.At.After(seen.Ends[2].Add(contactTime)) && !f.recentlyPaused(sent[arrival.ID].Gateway, arrival.At) {
 				late++
 			}
 		}
-		if late > mostLate {
-			r.breakf("%s reached backend servers %d times after %d had ended", path, late, len(seen.Ends))
+		if late > maxLate {
+			r.violatedf("%s reached backend servers %d times after %d had ended", path, late, len(seen.Ends))
 		}
 	}
 	for _, a := range l.attempts {
 		if a.Reason == "quarantined" {
-			r.breakf("%s (%s) was taken for a lethal request", a.ID, a.Kind)
+			r.violatedf("%s (%s) was quarantined as a lethal request", a.ID, a.Kind)
 		}
 	}
 }
--- a/standin/soak/cmd/soak/load.go
+++ b/standin/soak/cmd/soak/load.go
@@ -12,19 +12,18 @@
 )
 
 const (
-	// callers is how many callers there are; each keeps a connection open for
-	// many requests.
+	// callers is the number of callers. Each keeps a connection open for many requests.
 	callers = 24
-	// callerDeadline is how long a caller waits for an answer.
+	// callerDeadline is how long a caller waits for a response.
 	callerDeadline = 5 * time.Second
-	// addressTTL is how long callers keep the addresses that they were told.
+	// addressTTL is how long callers cache resolved gateway addresses.
 	addressTTL = 2 * time.Second
-	// keepShare is the part of the requests after which a caller keeps its
-	// connection.
-	keepShare = 0.9
+	// keepAliveShare is the fraction of requests after which a caller keeps its connection
+	// open.
+	keepAliveShare = 0.9
 )
 
-// load is the callers with all their attempts.
+// load runs the callers and records all their attempts.
 type load struct {
 	world *world
 	run   sync.WaitGroup
@@ -35,7 +34,7 @@
 
 func newLoad(w *world) *load { return &load{world: w} }
 
-// begin starts the callers, which send the requests a second together.
+// begin starts the callers, which together send rate requests a second.
 func (l *load) begin(ctx context.Context, rate int) {
 	for i := range callers {
 		l.run.Add(1)
@@ -49,31 +48,31 @@
 
 func (l *load) wait() { l.run.Wait() }
 
-func (l *load) note(a standin.Attempt) {
+func (l *load) record(a standin.Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempts = append(l.attempts, a)
 }
 
-// connect maps a gateway's front address to the fault proxy before it.
+// connect maps a gateway's front address to the address of the fault proxy in front of it.
 func (l *load) connect(front string) string {
 	for i, g := range l.world.gateways {
 		if g.front == front {
-			return l.world.at(0, i, 8100)
+			return l.world.vmAddress(0, i, 8100)
 		}
 	}
 	return front
 }
 
-// caller sends one request after the other.
+// caller sends requests one at a time.
 type caller struct {
-	load      *load
-	index     int
-	rnd       *rand.Rand
-	addresses []string
-	asked     time.Time
-	conn      *standin.Conn
-	sent      int
+	load       *load
+	index      int
+	rnd        *rand.Rand
+	addresses  []string
+	resolvedAt time.Time
+	conn       *standin.Conn
+	sent       int
 }
 
 func (c *caller) run(ctx context.Context, interval time.Duration) {
@@ -89,12 +88,12 @@
 	}
 }
 
-// connect makes sure that there is a connection.
+// connect opens a connection if there is none and reports whether there is one.
 func (c *caller) connect(ctx context.Context, sender *standin.Caller) bool {
 	if c.conn != nil {
 		return true
 	}
-	if time.Since(c.asked) > addressTTL {
+	if time.Since(c.resolvedAt) > addressTTL {
 		c.resolve(ctx)
 	}
 	if len(c.addresses) == 0 {
@@ -102,14 +101,14 @@
 	}
 	conn, err := sender.Dial(c.addresses[c.rnd.IntN(len(c.addresses))])
 	if err != nil {
-		c.asked = time.Time{} // another address next time
+		c.resolvedAt = time.Time{} // resolve again on the next try
 		return false
 	}
 	c.conn = conn
 	return true
 }
 
-// resolve asks up to three gateways where to connect.
+// resolve queries up to three gateways for the addresses to connect to.
 func (c *caller) resolve(ctx context.Context) {
 	gateways := c.load.world.gateways
 	for i := range min(3, len(gateways)) {
@@ -118,13 +117,13 @@
 		addresses, err := standin.Resolve(asking, g.directory, host, zone(c.index))
 		cancel()
 		if err == nil && len(addresses) > 0 {
-			c.addresses, c.asked = addresses, time.Now()
+			c.addresses, c.resolvedAt = addresses, time.Now()
 			return
 		}
 	}
 }
 
-// send makes one attempt of a kind drawn at random.
+// send sends one request of a randomly drawn kind.
 func (c *caller) send(sender *standin.Caller) {
 	c.sent++
 	id := fmt.Sprintf("a%d-%d", c.index, c.sent)
@@ -136,8 +135,8 @@
 		kind, path = standin.KindUnsafe, unsafePath
 	}
 	a, keep := sender.Send(c.conn, id, kind, path+id)
-	c.load.note(a)
-	if !keep || c.rnd.Float64() > keepShare {
+	c.load.record(a)
+	if !keep || c.rnd.Float64() > keepAliveShare {
 		_ = c.conn.Close() // nothing is in flight on it
 		c.conn = nil
 	}
--- a/standin/soak/cmd/soak/main.go
+++ b/standin/soak/cmd/soak/main.go
@@ -1,6 +1,6 @@
-// Command soak runs the real programs as separate processes against stand-ins of
-// the users' platform, injects faults from outside them in overlapping series, and
-// checks the promises from what callers and backend servers see.
+// Command soak runs the real programs as separate processes against stand-ins of the
+// users' platform, injects overlapping faults from outside the processes, and checks
+// baywall's guarantees against what callers and backend servers observe.
 package main
 
 import (
@@ -17,10 +17,10 @@
 )
 
 const (
-	// defaultLength is how long one seed's faults last.
+	// defaultLength is how long faults are injected for one seed.
 	defaultLength = 20 * time.Second
-	// recovery is how long the fleet has without faults at the end; the last part
-	// of it has to be served.
+	// recovery is the time without faults at the end of a run. Nearly all requests must be
+	// served again in its last part, after settle.
 	recovery = 8 * time.Second
 )
 
@@ -36,7 +36,7 @@
 	verbose bool
 }
 
-// size tells how many processes a world has.
+// size is the number of processes of a world and the request rate.
 type size struct {
 	gateways, plain, groups, ranks int
 	rate                           int // requests a second
@@ -64,7 +64,7 @@
 	}
 }
 
-// runSeeds runs all seeds and reports whether every promise was kept.
+// runSeeds runs all seeds and reports whether every guarantee held.
 func runSeeds(ctx context.Context, o options) bool {
 	binaries, clean, err := build()
 	if err != nil {
@@ -83,7 +83,7 @@
 			return false
 		}
 		fmt.Println(r)
-		if len(r.broken) > 0 {
+		if len(r.violations) > 0 {
 			failed++
 		}
 	}
@@ -91,7 +91,7 @@
 	return failed == 0
 }
 
-// runSeed plays one world and returns what was seen.
+// runSeed runs one world with the faults of a seed and reports what was observed.
 func runSeed(ctx context.Context, b fleet.Binaries, o options, seed uint64) (*report, error) {
 	w, err := newWorld(b, o, seed)
 	if err != nil {
@@ -107,16 +107,16 @@
 	load.begin(loadCtx, o.size.rate)
 	f := &faults{world: w, load: load, verbose: o.verbose, injected: make(map[string]int)}
 	w.faults = f
-	watched := newInForce(w, f)
-	go watched.run(loadCtx)
+	watcher := newConfigWatcher(w, f)
+	go watcher.run(loadCtx)
 	f.play(ctx, o)
 	f.heal(ctx)
-	calm := time.Now()
+	healedAt := time.Now()
 	wait.Sleep(ctx, recovery)
 	stopLoad()
 	load.wait()
-	r.check(w, load, f, watched, calm)
-	if len(r.broken) > 0 {
+	r.check(w, load, f, watcher, healedAt)
+	if len(r.violations) > 0 {
 		r.logs = w.keepLogs(o.keep)
 	}
 	return r, nil
--- a/standin/soak/cmd/soak/process.go
+++ b/standin/soak/cmd/soak/process.go
@@ -10,7 +10,7 @@
 	"baywall.example/standin/fleet"
 )
 
-// build compiles both programs; clean removes them.
+// build compiles both programs. The clean function removes them.
 func build() (b fleet.Binaries, clean func(), err error) {
 	dir, err := os.MkdirTemp("", "soak-bin-")
 	if err != nil {
@@ -20,20 +20,20 @@
 	return b, func() { _ = os.RemoveAll(dir) }, err
 }
 
-// process is one of the real programs on one VM. It is started again when it
-// ends, as the platform does.
+// process is one of the real programs on one VM. It is restarted whenever it ends, as the
+// platform does.
 type process struct {
 	vm       string
 	settings string
 	child    *fleet.Process
 
-	mu      sync.Mutex
-	stopped bool // for good
-	killed  bool // the end was asked for
-	exits   []string
+	mu           sync.Mutex
+	stopped      bool     // not to be restarted
+	exitExpected bool     // after a signal that ends the process
+	exits        []string // unexpected ones
 }
 
-// restartPause is how long the platform takes to start a process again.
+// restartPause is how long the platform takes to restart a process.
 const restartPause = 300 * time.Millisecond
 
 // run starts the process and keeps it running.
@@ -45,12 +45,12 @@
 	return nil
 }
 
-// supervise starts the process again whenever it ends.
+// supervise restarts the process whenever it ends, until it is terminated.
 func (p *process) supervise() {
 	for {
 		err := p.child.Err()
 		p.mu.Lock()
-		if !p.killed {
+		if !p.exitExpected {
 			p.exits = append(p.exits, fmt.Sprintf("%s: %v", p.vm, err))
 		}
 		stopped := p.stopped
@@ -59,52 +59,53 @@
 			return
 		}
 		time.Sleep(restartPause)
-		if !p.again() {
+		if !p.restart() {
 			return
 		}
 	}
 }
 
-// again starts the process once more, unless it was ended for good meanwhile.
-func (p *process) again() bool {
+// restart starts the process again, unless it was terminated in the meantime, and reports
+// whether it runs.
+func (p *process) restart() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.stopped {
 		return false
 	}
-	p.killed = false
+	p.exitExpected = false
 	if err := p.child.Start(); err != nil {
-		p.exits = append(p.exits, fmt.Sprintf("%s: not started again: %v", p.vm, err))
+		p.exits = append(p.exits, fmt.Sprintf("%s: restart failed: %v", p.vm, err))
 		return false
 	}
 	return true
 }
 
-// signal sends a signal; one that ends the process is asked for.
+// signal sends a signal to the process. After SIGTERM and SIGKILL its exit is expected.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s == syscall.SIGTERM || s == syscall.SIGKILL {
-		p.killed = true
+		p.exitExpected = true
 	}
 	p.child.Signal(s)
 }
 
-// end kills the process for good and waits.
-func (p *process) end() {
+// terminate kills the process, waits for its end and prevents a restart.
+func (p *process) terminate() {
 	p.mu.Lock()
-	p.stopped, p.killed = true, true
+	p.stopped, p.exitExpected = true, true
 	p.mu.Unlock()
 	done := p.child.Done()
 	if done == nil {
-		return // it was never started
+		return // the process was never started
 	}
-	p.child.Continue() // a paused process is woken to be killed
+	p.child.Continue() // a paused process has to run to be killed
 	p.child.Kill()
 }
 
-// ownExits returns the ends that nobody asked for.
-func (p *process) ownExits() []string {
+// unexpectedExits describes the exits of the process that no signal caused.
+func (p *process) unexpectedExits() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.exits...)
--- a/standin/soak/cmd/soak/report.go
+++ b/standin/soak/cmd/soak/report.go
@@ -10,79 +10,81 @@
 	"baywall.example/platform/standin"
 )
 
-// report is what one seed showed.
+// report is the result of one seed.
 type report struct {
 	seed      uint64
 	processes int
 	outcomes  map[standin.Outcome]int
 	injected  map[string]int
 	switches  uint64 // largest map version in use at the end
-	// quarantined counts lethal requests under which three backend servers ended.
-	quarantined int
-	limits      int // that backend servers named
-	rests       int // that they asked for
-	leavings    int // that they told in answers
-	broken      []string
-	logs        string
+	// quarantined counts the lethal requests that ended at least three backend servers.
+	quarantined  int
+	limits       int // announced by backend servers
+	backoffs     int // backoffs that backend servers asked for
+	leaveNotices int // gateways informed by a response that a backend server leaves
+	violations   []string
+	logs         string
 }
 
 const (
-	// graceful is how long around a planned stop a cut request counts as cut by
-	// it, and how far away other faults have to be.
-	graceful  = 9 * time.Second
-	aftermath = 4 * time.Second
-	// wakingTime is how long after a pause a gateway may still act on what it knew
-	// before: the users' rules leave it the time of contact, 3 s and more.
-	wakingTime = 3 * time.Second
-	// settle is how long the fleet may take to recover from the last fault.
+	// A request that was sent up to stopWindow after a planned stop, or up to callerDeadline
+	// before it, and was cut off counts as cut off by the stop, unless another fault was in
+	// force at some time from otherFaultMargin before the request was sent until its
+	// deadline.
+	stopWindow       = 9 * time.Second
+	otherFaultMargin = 4 * time.Second
+	// catchUpTime is how long after a pause a gateway may still act on what it knew before:
+	// the users' rules allow it the time to exchange state again, at least 3 s.
+	catchUpTime = 3 * time.Second
+	// settle is how long the fleet may take to recover once the faults have ended.
 	settle = 4 * time.Second
-	// servedShare is the part of the requests after that which is served.
+	// servedShare is the minimum fraction of requests that is served after settle.
 	servedShare = 0.95
 )
 
-func (r *report) breakf(format string, args ...any) {
-	r.broken = append(r.broken, fmt.Sprintf(format, args...))
+func (r *report) violatedf(format string, args ...any) {
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// check compares what callers and backend servers saw with the promises.
-func (r *report) check(w *world, l *load, f *faults, watched *inForce, calm time.Time) {
+// check checks the guarantees against what callers and backend servers observed.
+func (r *report) check(w *world, l *load, f *faults, watcher *configWatcher, healedAt time.Time) {
 	r.injected = f.injected
-	looks := watched.all()
+	probes := watcher.all()
 	r.outcomes = make(map[standin.Outcome]int)
 	for _, a := range l.attempts {
 		r.outcomes[a.Outcome]++
 		r.checkAttempt(w, f, a)
 	}
-	r.checkRecovery(l, calm)
+	r.checkRecovery(l, healedAt)
 	for _, g := range w.groups {
 		for _, m := range g.Mixed() {
-			r.breakf("group %s: %s", g.Name, m)
+			r.violatedf("group %s: %s", g.Name, m)
 		}
 		version, _ := g.State()
 		r.switches = max(r.switches, version)
 	}
-	r.checkLeft(w, l, f, looks)
+	r.checkLeft(w, l, f, probes)
 	r.checkLethal(w, l, f)
-	r.checkLimits(w, l, f, looks)
-	r.checkNotices(w, l, f, looks)
+	r.checkLimits(w, l, f, probes)
+	r.checkNotices(w, l, f, probes)
 	r.checkCold(w)
 	r.checkProcesses(w)
 	r.checkConfig(w, l)
-	r.checkInForce(watched)
+	r.checkInForce(watcher)
 }
 
-// checkLeft looks for requests that a backend server got after it had left. Those that a
-// gateway sent just after a pause are allowed.
-func (r *report) checkLeft(w *world, l *load, f *faults, looks map[string]standin.Attempt) {
-	sent := maps.Clone(looks)
+// checkLeft reports requests that a backend server received after it had left. Requests
+// that a gateway sent during a pause or shortly after it are allowed.
+func (r *report) checkLeft(w *world, l *load, f *faults, probes map[string]standin.Attempt) {
+	sent := maps.Clone(probes)
 	for _, a := range l.attempts {
 		sent[a.ID] = a
 	}
 	for _, b := range w.backends {
-		for _, runner := range b.all {
+		for _, runner := range b.incarnations {
 			for _, id := range runner.LateWork() {
-				if a, ok := sent[id]; !ok || !f.pausedLately(a.Gateway, a.Sent) {
-					r.breakf("%s got %s after it had left, through %s", runner.ID, id, a.Gateway)
+				if a, ok := sent[id]; !ok || !f.recentlyPaused(a.Gateway, a.Sent) {
+					r.violatedf("%s received %s after it had left, through %s", runner.ID, id, a.Gateway)
 				}
 			}
 		}
@@ -92,32 +94,32 @@
 func (r *report) checkAttempt(w *world, f *faults, a standin.Attempt) {
 	runs := w.ledger.Runs(a.ID)
 	if a.Wrong != "" {
-		r.breakf("%s (%s): wrong answer: %s", a.ID, a.Kind, a.Wrong)
+		r.violatedf("%s (%s): wrong answer: %s", a.ID, a.Kind, a.Wrong)
 	}
 	if a.Kind == standin.KindUnsafe && runs > 1 {
-		r.breakf("%s is not idempotent and ran %d times", a.ID, runs)
+		r.violatedf("%s is not idempotent and ran %d times", a.ID, runs)
 	}
 	if a.Outcome == standin.Refused && runs > 0 {
-		r.breakf("%s (%s) was refused with %d and ran: %s", a.ID, a.Kind, a.Status, a.Detail)
+		r.violatedf("%s (%s) was refused with %d and ran: %s", a.ID, a.Kind, a.Status, a.Detail)
 	}
 	if a.Status == 401 || a.Status == 404 {
-		r.breakf("%s (%s) got %d on a route that always was there", a.ID, a.Kind, a.Status)
+		r.violatedf("%s (%s) received status %d on a permanent route", a.ID, a.Kind, a.Status)
 	}
 	if a.Outcome != standin.Cut {
 		return
 	}
 	for _, stop := range f.stopping[a.Gateway] {
-		around := a.Sent.After(stop.Add(-callerDeadline)) && a.Sent.Before(stop.Add(graceful))
-		if around && !f.roughBetween(a.Sent.Add(-aftermath), a.Sent.Add(callerDeadline)) {
-			r.breakf("%s (%s) was cut by the graceful stop of %s: %s", a.ID, a.Kind, a.Gateway, a.Detail)
+		around := a.Sent.After(stop.Add(-callerDeadline)) && a.Sent.Before(stop.Add(stopWindow))
+		if around && !f.disruptedBetween(a.Sent.Add(-otherFaultMargin), a.Sent.Add(callerDeadline)) {
+			r.violatedf("%s (%s) was cut by the graceful stop of %s: %s", a.ID, a.Kind, a.Gateway, a.Detail)
 		}
 	}
 }
 
-func (r *report) checkRecovery(l *load, calm time.Time) {
+func (r *report) checkRecovery(l *load, healedAt time.Time) {
 	served, all := 0, 0
 	for _, a := range l.attempts {
-		if a.Sent.Before(calm.Add(settle)) {
+		if a.Sent.Before(healedAt.Add(settle)) {
 			continue
 		}
 		all++
@@ -126,37 +128,38 @@
 		}
 	}
 	if all == 0 || float64(served) < servedShare*float64(all) {
-		r.breakf("%d of %d requests served after the faults", served, all)
+		r.violatedf("%d of %d requests served after the faults", served, all)
 	}
 }
 
-// checkInForce takes over what was seen of the configurations in force.
-func (r *report) checkInForce(i *inForce) {
+// checkInForce adds the violations that the configuration watcher found and checks that it
+// sent probes.
+func (r *report) checkInForce(i *configWatcher) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if len(i.looks) == 0 {
-		r.breakf("no gateway was asked which configuration is in force")
+	if len(i.probes) == 0 {
+		r.violatedf("no gateway was probed for the configuration in force")
 	}
-	for _, b := range i.broken {
-		r.breakf("%s", b)
+	for _, b := range i.violations {
+		r.violatedf("%s", b)
 	}
 }
 
 func (r *report) checkProcesses(w *world) {
 	for _, g := range w.gateways {
-		for _, exit := range g.ownExits() {
-			r.breakf("ended by itself: %s", exit)
+		for _, exit := range g.unexpectedExits() {
+			r.violatedf("unexpected exit: %s", exit)
 		}
 	}
 	for _, a := range w.agents {
-		for _, exit := range a.ownExits() {
-			r.breakf("ended by itself: %s", exit)
+		for _, exit := range a.unexpectedExits() {
+			r.violatedf("unexpected exit: %s", exit)
 		}
 	}
 }
 
-// checkConfig asks every gateway for the routes of the present configuration and
-// of the one two versions ago.
+// checkConfig checks that every gateway serves the route of the current configuration
+// version and no longer serves the route of the version two before it.
 func (r *report) checkConfig(w *world, l *load) {
 	version, _ := w.config.current()
 	sender := &standin.Caller{Host: host, Key: teamKey, Connect: l.connect, Deadline: callerDeadline}
@@ -171,20 +174,20 @@
 	}
 	for _, g := range w.gateways {
 		if status := ask(g, version); status != 200 {
-			r.breakf("%s answers %d on the route of version %d, in force", g.vm, status, version)
+			r.violatedf("%s responds with status %d on the route of version %d, which is in force", g.vm, status, version)
 		}
 		if version > 2 {
 			if status := ask(g, version-2); status != 404 {
-				r.breakf("%s answers %d on the route of version %d, dropped", g.vm, status, version-2)
+				r.violatedf("%s responds with status %d on the route of version %d, which was removed", g.vm, status, version-2)
 			}
 		}
 	}
 }
 
-// mostBroken is how many broken promises of one seed are printed.
-const mostBroken = 12
+// maxPrinted is the maximum number of violations of one seed that are printed.
+const maxPrinted = 12
 
-// String prints the report for a person.
+// String formats the report for people to read.
 func (r *report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d processes, maps up to version %d, requests:", r.seed, r.processes, r.switches)
@@ -193,7 +196,7 @@
 			fmt.Fprintf(&b, " %d %s", r.outcomes[o], o)
 		}
 	}
-	fmt.Fprintf(&b, ", %d lethal, %d limits, %d rests, %d leavings", r.quarantined, r.limits, r.rests, r.leavings)
+	fmt.Fprintf(&b, ", %d lethal, %d limits, %d rests, %d leavings", r.quarantined, r.limits, r.backoffs, r.leaveNotices)
 	names := make([]string, 0, len(r.injected))
 	total := 0
 	for name, n := range r.injected {
@@ -202,13 +205,13 @@
 	}
 	sort.Strings(names)
 	fmt.Fprintf(&b, "\n  %d faults: %s", total, strings.Join(names, ", "))
-	if len(r.broken) == 0 {
+	if len(r.violations) == 0 {
 		b.WriteString("\n  every promise kept")
 		return b.String()
 	}
-	for _, line := range r.broken[:min(len(r.broken), mostBroken)] {
+	for _, line := range r.violations[:min(len(r.violations), maxPrinted)] {
 		fmt.Fprintf(&b, "\n  BROKEN: %s", line)
 	}
-	fmt.Fprintf(&b, "\n  %d broken; logs: %s", len(r.broken), r.logs)
+	fmt.Fprintf(&b, "\n  %d broken; logs: %s", len(r.violations), r.logs)
 	return b.String()
 }
--- a/standin/soak/cmd/soak/rest.go
+++ b/standin/soak/cmd/soak/rest.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// restHeeded is the time after an answer from which a gateway heeds the rest that it asks
-	// for, restForgiven how many requests may still come then.
-	restHeeded   = 500 * time.Millisecond
-	restForgiven = 2
-	// leavingHeeded is the time after an answer that says so from which a backend server gets
-	// nothing new.
-	leavingHeeded = 1600 * time.Millisecond
+	// backoffReaction is the time after a response that asks for a backoff from which the
+	// gateway has to honor it; backoffTolerance is how many requests it may still send from
+	// then until the backoff ends.
+	backoffReaction  = 500 * time.Millisecond
+	backoffTolerance = 2
+	// leavingReaction is the time after a response that announces that a backend server
+	// leaves from which the gateway may send it no new requests.
+	leavingReaction = 1600 * time.Millisecond
 )
 
-// askedRests are the rests that backend servers ask for.
-var askedRests = [...]time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 4 * time.Second}
+// backoffTimes are the backoffs that backend servers ask for.
+var backoffTimes = [...]time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 4 * time.Second}
 
-// askForRest has a backend server turn requests away for a while.
-func (f *faults) askForRest(ctx context.Context, d draw) {
-	f.rest(ctx, []*standin.Runner{f.backend(d).current()}, d)
+// askForBackoff has a backend server refuse requests and ask for a backoff for a while.
+func (f *faults) askForBackoff(ctx context.Context, d draw) {
+	f.backoff(ctx, []*standin.Runner{f.backend(d).current()}, d)
 }
 
-// askForRestOfAll has all backend servers of a service do that.
-func (f *faults) askForRestOfAll(ctx context.Context, d draw) {
+// askForBackoffOfService has all backend servers of a service ask for a backoff.
+func (f *faults) askForBackoffOfService(ctx context.Context, d draw) {
 	service := f.backend(d).service
 	var all []*standin.Runner
 	for _, b := range f.world.backends {
@@ -35,24 +36,25 @@
 			all = append(all, b.current())
 		}
 	}
-	f.rest(ctx, all, d)
+	f.backoff(ctx, all, d)
 }
 
-// rest returns when the rests are over.
-func (f *faults) rest(ctx context.Context, runners []*standin.Runner, d draw) {
-	rest := askedRests[d.variant%len(askedRests)]
+// backoff has the runners ask for a backoff for a while and returns when the last one that
+// they asked for is over.
+func (f *faults) backoff(ctx context.Context, runners []*standin.Runner, d draw) {
+	backoff := backoffTimes[d.variant%len(backoffTimes)]
 	for _, r := range runners {
-		r.AskForRest(rest)
+		r.AskForRest(backoff)
 	}
 	wait.Sleep(ctx, d.duration)
 	for _, r := range runners {
 		r.AskForRest(0)
 	}
-	wait.Sleep(ctx, rest)
+	wait.Sleep(ctx, backoff)
 }
 
-// leaveByAnswer has a backend server say in its answers that it leaves, and start again under its id
-// when it is gone, or under another one. Its entry says nothing.
+// leaveByAnswer has a backend server announce in its responses, but not in its store entry,
+// that it leaves. Once it has ended, it is started again under its old id or a new one.
 func (f *faults) leaveByAnswer(ctx context.Context, d draw) {
 	i := d.which % len(f.world.backends)
 	b := f.world.backends[i]
@@ -66,19 +68,20 @@
 	f.replace(ctx, i, id, (*standin.Runner).Leave)
 }
 
-// checkNotices looks for requests that reached backend servers in a rest, or after they had said that
-// they leave, from the gateway that heard so and was not disturbed.
-func (r *report) checkNotices(w *world, l *load, f *faults, looks map[string]standin.Attempt) {
-	sent := sentBy(l, f, looks)
+// checkNotices reports requests that reached a backend server during a backoff, or after it
+// had announced that it leaves, from the gateway that had received this response. Requests
+// from gateways that were disturbed shortly before do not count.
+func (r *report) checkNotices(w *world, l *load, f *faults, probes map[string]standin.Attempt) {
+	sent := sentBy(l, f, probes)
 	for _, b := range w.backends {
-		for _, runner := range b.all {
+		for _, runner := range b.incarnations {
 			arrivals := runner.Arrivals()
-			for _, rest := range runner.Rests() {
-				r.rests++
-				gateway := sent[rest.ID].Gateway
-				within := arrivedWithin(arrivals, sent, gateway, rest.At.Add(restHeeded), rest.At.Add(rest.For))
-				if len(within) > restForgiven && !f.disturbedLately(gateway, within[0].At) && !f.harmedLately(b.relay, within[0].At) {
-					r.breakf("%s had asked %s for %v of rest and got %d requests from it", runner.ID, gateway, rest.For, len(within))
+			for _, backoff := range runner.Rests() {
+				r.backoffs++
+				gateway := sent[backoff.ID].Gateway
+				within := arrivedWithin(arrivals, sent, gateway, backoff.At.Add(backoffReaction), backoff.At.Add(backoff.For))
+				if len(within) > backoffTolerance && !f.recentlyDisturbed(gateway, within[0].At) && !f.recentlyImpaired(b.relay, within[0].At) {
+					r.violatedf("%s had asked %s for a backoff of %v and received %d requests from it", runner.ID, gateway, backoff.For, len(within))
 				}
 			}
 			r.checkLeftByAnswer(b.relay, runner, arrivals, sent, f)
@@ -86,26 +89,26 @@
 	}
 }
 
-// checkLeftByAnswer looks for requests that a gateway sent though an answer had told it that the
-// backend server leaves.
+// checkLeftByAnswer reports requests that a gateway sent to a backend server although a
+// response had informed the gateway that the server leaves.
 func (r *report) checkLeftByAnswer(relay *relay, runner *standin.Runner, arrivals []standin.Arrival, sent map[string]standin.Attempt, f *faults) {
-	heard := make(map[string]bool) // gateways
+	informed := make(map[string]bool) // by gateway
 	for _, a := range runner.AnsweredLeaving() {
 		gateway := sent[a.ID].Gateway
-		if heard[gateway] || sent[a.ID].Outcome != standin.Served || f.harmedLately(relay, a.At) {
+		if informed[gateway] || sent[a.ID].Outcome != standin.Served || f.recentlyImpaired(relay, a.At) {
 			continue
 		}
-		heard[gateway] = true
-		r.leavings++
-		for _, late := range arrivedWithin(arrivals, sent, gateway, a.At.Add(leavingHeeded), a.At.Add(time.Hour)) {
-			if sent[late.ID].Sent.After(a.At.Add(leavingHeeded)) && !f.disturbedLately(gateway, late.At) {
-				r.breakf("%s had told %s that it leaves and got %s %v later", runner.ID, gateway, late.ID, late.At.Sub(a.At))
+		informed[gateway] = true
+		r.leaveNotices++
+		for _, late := range arrivedWithin(arrivals, sent, gateway, a.At.Add(leavingReaction), a.At.Add(time.Hour)) {
+			if sent[late.ID].Sent.After(a.At.Add(leavingReaction)) && !f.recentlyDisturbed(gateway, late.At) {
+				r.violatedf("%s had informed %s that it leaves and received %s %v later", runner.ID, gateway, late.ID, late.At.Sub(a.At))
 			}
 		}
 	}
 }
 
-// arrivedWithin returns the requests that came through a gateway between two times.
+// arrivedWithin returns the requests that arrived through a gateway between two times.
 func arrivedWithin(arrivals []standin.Arrival, sent map[string]standin.Attempt, gateway string, from, to time.Time) (out []standin.Arrival) {
 	for _, a := range arrivals {
 		if sent[a.ID].Gateway == gateway && a.At.After(from) && a.At.Before(to) {
--- a/standin/soak/cmd/soak/soak_test.go
+++ b/standin/soak/cmd/soak/soak_test.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// failedSeeds are seeds that ever broke a promise, with the cause. They are run
-// again for as long as they ran then.
+// failedSeeds are seeds that once violated a guarantee, with the cause. They run for as
+// long as they did then, with the same size and kinds of faults.
 var failedSeeds = []struct {
 	name   string
 	seed   uint64
 	length time.Duration
 	size   size
-	kinds  int // that there were
+	kinds  int // number of kinds that existed then
 	focus  string
 }{
 	// A gateway that had been paused for 3 s sent its first requests to backend servers that
-	// had left meanwhile.
+	// had left during the pause.
 	{"first requests after a pause", 70236, 10 * time.Second, size{gateways: 4, plain: 3, groups: 2, ranks: 3, rate: 60}, 17, ""},
-	// A backend server's entry was removed 0.5 s after the store had gone away for 1.6 s, and
-	// the server got requests until 1.5 s after its return, when gateways take an entry that
-	// is missing for gone. By the rules its leaving counts from the store's return.
+	// A backend server's entry was removed 0.5 s after the store had become unavailable for
+	// 1.6 s. The server received requests until 1.5 s after the store's return, when gateways
+	// treat a missing entry as removed. By the users' rules the server counts as leaving from
+	// the store's return.
 	{"entry removed while the store is away", 281024, 8 * time.Second, size{gateways: 4, plain: 3, groups: 2, ranks: 3, rate: 60}, 18, ""},
-	// The store came back from an older copy, and gave revisions out again: five requests
-	// reached a backend server that had left, through all gateways.
+	// The store was restored from an older copy and assigned revisions a second time. Five
+	// requests reached a backend server that had left, through all gateways.
 	{"a server that left after a return of the store", 2, 10 * time.Second, size{gateways: 4, plain: 3, groups: 2, ranks: 3, rate: 60}, 19, "older copy,configuration,replaced"},
 }
 
-// lethalSeed has a request that ends three backend servers, limitSeed backend servers that name
-// limits.
 const (
+	// lethalSeed has a request that ends three backend servers.
 	lethalSeed = 5
-	limitSeed  = 3
-	// evacuationSeed evacuates availability zones, and has backend servers that are cold.
+	// limitSeed has backend servers that announce rate limits.
+	limitSeed = 3
+	// evacuationSeed evacuates availability zones and has cold backend servers.
 	evacuationSeed = 7
-	// restSeed has backend servers that ask for rest and say in answers that they leave.
-	restSeed = 11
+	// backoffSeed has backend servers that ask for a backoff and announce in responses that they
+	// leave.
+	backoffSeed = 11
 )
 
-// A short run of the real programs as processes, the same faults each time.
-func TestAShortSoakKeepsItsPromises(t *testing.T) {
+// Runs the real programs as processes for a short time, with the same faults each time.
+func TestShortSoakKeepsGuarantees(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
@@ -55,12 +57,12 @@
 			t.Fatal(err)
 		}
 		t.Log(r)
-		if len(r.broken) > 0 {
+		if len(r.violations) > 0 {
 			t.Fail()
 		}
 	}
 	o.focus = "rest asked,answers,crashed"
-	runOne(t, restSeed, o)
+	runOne(t, backoffSeed, o)
 	o.focus, o.kinds = "evacuated,replaced,crashed", 21
 	runOne(t, evacuationSeed, o)
 	o.focus, o.kinds = "limit", 20
--- a/standin/soak/cmd/soak/world.go
+++ b/standin/soak/cmd/soak/world.go
@@ -26,47 +26,51 @@
 	slots        = 16
 )
 
-// shape of the groups' expert maps.
+// shape is the shape of the groups' expert maps.
 var shape = standin.Shape{Sets: 2, Experts: 12, Places: 6, Spare: 2}
 
-// relay is the fault proxy before one address.
+// relay is a fault proxy in front of one address.
 type relay struct {
 	*proxy.Network
-	published, behind string // IP:port
-	real              string // IP of what is behind it
+	published, target string // IP:port
+	real              string // IP of the target
 	mu                sync.Mutex
-	wait              time.Duration
+	latency           time.Duration
 }
 
-// newRelay takes connections at the published address and passes them on.
+// newRelay returns a relay that forwards connections from the published address to the
+// target.
 func newRelay(published, real string) (*relay, error) {
 	ip, _, err := net.SplitHostPort(real)
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{published: published, behind: real, real: ip}
+	r := &relay{published: published, target: real, real: ip}
 	r.Network = proxy.New(func(proxy.Pair) time.Duration {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.wait
+		return r.latency
 	})
 	return r, r.up()
 }
 
-// up takes connections, down refuses them, as the host of a process that has ended does.
-func (r *relay) up() error { return r.TCP(r.published, r.behind) }
-func (r *relay) down()     { r.Close() }
+// up starts to accept connections.
+func (r *relay) up() error { return r.TCP(r.published, r.target) }
 
-// client is the address from which all processes of this machine connect.
+// down refuses connections, as the host of a process that has ended does.
+func (r *relay) down() { r.Close() }
+
+// client is the IP from which all processes on this machine connect.
 const client = "127.0.0.1"
 
 func (r *relay) delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.wait = d
+	r.latency = d
 }
 
-// silence holds what is sent, there, back or both.
+// silence holds back what is sent towards the target, back to the client, or both. With
+// false it releases what was held back.
 func (r *relay) silence(there, back bool) {
 	r.Block(client, r.real, there)
 	r.Block(r.real, client, back)
@@ -79,47 +83,47 @@
 	r.silence(false, false)
 }
 
-// gateway is an entry VM.
+// gateway is the gateway process of an entry VM.
 type gateway struct {
 	*process
 	front, ready, directory string
 	callers, store          *relay
 }
 
-// backend is a backend server's VM with its present incarnation.
+// backend is a backend server's VM with its current incarnation.
 type backend struct {
 	service string
-	address string // of the runner
+	address string // where the runner listens
 	relay   *relay
 	group   *standin.Group
 	rank    int
 	zone    string
 
-	mu     sync.Mutex
-	runner *standin.Runner
-	all    []*standin.Runner
-	ended  *standin.Runner // the latest one that crashed
-	reborn bool            // the present one has the id of one before
+	mu           sync.Mutex
+	runner       *standin.Runner
+	incarnations []*standin.Runner
+	crashed      *standin.Runner // the last incarnation that crashed
+	idReused     bool            // the current incarnation has the id of an earlier one
 }
 
-// ends notes that an incarnation crashes, and reports whether it is the present one and
-// has not yet.
-func (b *backend) ends(r *standin.Runner) bool {
+// markCrashed records that an incarnation crashes. It reports whether the incarnation is
+// the current one and has not crashed before.
+func (b *backend) markCrashed(r *standin.Runner) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.runner != r || b.ended == r {
+	if b.runner != r || b.crashed == r {
 		return false
 	}
-	b.ended = r
+	b.crashed = r
 	return true
 }
 
-// born returns when an incarnation started that has the id of one before, zero for others: their
-// entries need not tell.
-func (b *backend) born(r *standin.Runner) time.Time {
+// reusedSince returns the start time of an incarnation that has the id of an earlier one. It
+// returns zero for others, whose entries need no start time.
+func (b *backend) reusedSince(r *standin.Runner) time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.reborn {
+	if !b.idReused {
 		return time.Time{}
 	}
 	return r.Started()
@@ -131,26 +135,26 @@
 	return b.runner
 }
 
-// world is a fleet with its stand-ins.
+// world is a fleet together with the stand-ins of its platform.
 type world struct {
-	dir      string
-	rnd      *rand.Rand
-	store    *standin.Store
-	author   *standin.Author
-	stores   *http.Server
-	ledger   *standin.Ledger
-	gateways []*gateway
-	agents   []*process
-	backends []*backend
-	groups   []*standin.Group
-	config   *config
-	ctx      context.Context
-	cancel   context.CancelFunc
-	faults   *faults
-	seed     uint64
-	cold     standin.Service // what the plain service's backend servers bear after a start
-	net      byte            // second byte of all addresses
-	names    int             // of runners so far
+	dir         string
+	rnd         *rand.Rand
+	store       *standin.Store
+	author      *standin.Author
+	storeServer *http.Server
+	ledger      *standin.Ledger
+	gateways    []*gateway
+	agents      []*process
+	backends    []*backend
+	groups      []*standin.Group
+	config      *config
+	ctx         context.Context
+	cancel      context.CancelFunc
+	faults      *faults
+	seed        uint64
+	cold        standin.Service // load limit of the plain service's backend servers after a start
+	subnet      byte            // second byte of all addresses
+	assignedIDs int             // number of runner ids assigned so far
 }
 
 func newWorld(b fleet.Binaries, o options, seed uint64) (*world, error) {
@@ -161,7 +165,7 @@
 	}
 	w := &world{
 		dir: dir, seed: seed, rnd: rand.New(rand.NewPCG(seed, 1)), store: standin.NewStore(), ledger: standin.NewLedger(),
-		net: byte(100 + os.Getpid()%100), cold: o.cold(),
+		subnet: byte(100 + os.Getpid()%100), cold: o.cold(),
 	}
 	w.author = standin.NewAuthor(w.store)
 	w.config = newConfig(w.author, w.cold)
@@ -169,14 +173,14 @@
 		w.gateways = append(w.gateways, w.newGateway(b, i))
 	}
 	for i := range s.plain {
-		w.backends = append(w.backends, &backend{service: plainService, address: w.at(2, i, 9000), zone: zone(i)})
+		w.backends = append(w.backends, &backend{service: plainService, address: w.vmAddress(2, i, 9000), zone: zone(i)})
 	}
 	for g := range s.groups {
 		group := standin.NewGroup(fmt.Sprintf("g%d", g), s.ranks, shape)
 		w.groups = append(w.groups, group)
 		for rank := range s.ranks {
 			i := g*s.ranks + rank
-			w.backends = append(w.backends, &backend{service: modelService, address: w.at(1, i, 9000), group: group, rank: rank, zone: zone(i)})
+			w.backends = append(w.backends, &backend{service: modelService, address: w.vmAddress(1, i, 9000), group: group, rank: rank, zone: zone(i)})
 			w.agents = append(w.agents, w.newAgent(b, i))
 		}
 	}
@@ -185,16 +189,16 @@
 
 func zone(i int) string { return fmt.Sprintf("z%d", i%3) }
 
-// at returns an address of the i-th VM of a kind.
-func (w *world) at(kind byte, i, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", w.net, kind, i+1, port)
+// vmAddress returns an address of the i-th VM of a kind.
+func (w *world) vmAddress(kind byte, i, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", w.subnet, kind, i+1, port)
 }
 
 func (w *world) newGateway(b fleet.Binaries, i int) *gateway {
 	name := fmt.Sprintf("entry-%d", i)
 	return &gateway{
 		process: w.newProcess(name, b.Entry, "gateway"),
-		front:   w.at(0, i, 8000), ready: w.at(0, i, 8001), directory: w.at(0, i, 8002),
+		front:   w.vmAddress(0, i, 8000), ready: w.vmAddress(0, i, 8001), directory: w.vmAddress(0, i, 8002),
 	}
 }
 
@@ -211,17 +215,17 @@
 	}
 }
 
-// start starts the stand-ins and the programs, and waits until all are ready.
+// start starts the stand-ins and the programs and waits until all gateways are ready.
 func (w *world) start(ctx context.Context) error {
 	ctx, w.cancel = context.WithCancel(ctx)
 	w.ctx = ctx
-	real := w.at(3, 0, 7000)
+	real := w.vmAddress(3, 0, 7000)
 	ln, err := net.Listen("tcp4", real)
 	if err != nil {
 		return err
 	}
-	w.stores = &http.Server{Handler: w.store, ReadHeaderTimeout: time.Second}
-	go func() { _ = w.stores.Serve(ln) }() // ends with close
+	w.storeServer = &http.Server{Handler: w.store, ReadHeaderTimeout: time.Second}
+	go func() { _ = w.storeServer.Serve(ln) }() // returns after close
 	go w.author.Run(ctx)
 	for _, g := range w.groups {
 		go g.Run(ctx)
@@ -241,43 +245,44 @@
 	return w.awaitReady(ctx)
 }
 
-// published is the address under which a backend server is listed.
+// published returns the address under which a backend server is listed.
 func (w *world) published(i int) string {
 	ip, _, _ := net.SplitHostPort(w.backends[i].address)
 	return net.JoinHostPort(ip, "9001")
 }
 
-// onLethal returns what ends the runner when a lethal request begins to run on it.
+// onLethal returns the function that crashes the runner when a lethal request starts to
+// run on it.
 func (w *world) onLethal(i int, r *standin.Runner) func() {
 	return func() { go w.faults.crash(w.ctx, i, r, draw{duration: lethalDown}) }
 }
 
-// lethalDown is twice the time for which a backend server is away that a lethal request
-// has ended.
+// lethalDown is twice the time for which a backend server is down after a lethal request
+// has crashed it: half of a crash's duration passes before the restart.
 const lethalDown = 2 * time.Second
 
-// startRunner starts a new incarnation of a backend server, under a new id unless one is given, and
-// lists it.
+// startRunner starts a new incarnation of a backend server, under a new id unless one is
+// given, and lists it in the store.
 func (w *world) startRunner(i int, id string) error {
 	b := w.backends[i]
-	reborn := id != ""
-	if !reborn {
-		w.names++
-		id = fmt.Sprintf("i-%d", w.names)
+	idReused := id != ""
+	if !idReused {
+		w.assignedIDs++
+		id = fmt.Sprintf("i-%d", w.assignedIDs)
 	}
 	r := standin.NewRunner(id, b.service, slots, w.ledger, b.group, b.rank)
 	r.OnLethal = w.onLethal(i, r)
 	if err := r.Start(b.address); err != nil {
 		return err
 	}
-	b.relay.down() // it may still listen
+	b.relay.down() // it may still be listening
 	if err := b.relay.up(); err != nil {
 		return err
 	}
 	b.mu.Lock()
 	b.runner = r
-	b.all = append(b.all, r)
-	b.reborn = reborn
+	b.incarnations = append(b.incarnations, r)
+	b.idReused = idReused
 	b.mu.Unlock()
 	w.list(i, r, false)
 	return nil
@@ -289,31 +294,31 @@
 	if b.service == plainService && w.cold.ColdPerS > 0 {
 		left = max(0, coldTime-time.Since(r.Started()))
 	}
-	w.author.Put(standin.ServerPrefix+r.ID, standin.EncodeStartedServer(b.service, w.published(i), b.zone, slots, draining, left, b.born(r)))
+	w.author.Put(standin.ServerPrefix+r.ID, standin.EncodeStartedServer(b.service, w.published(i), b.zone, slots, draining, left, b.reusedSince(r)))
 }
 
 func (w *world) startProcesses(store string) error {
 	seeds := ""
 	for i := range min(3, len(w.gateways)) {
-		seeds += "\n  - " + w.at(0, i, 8003)
+		seeds += "\n  - " + w.vmAddress(0, i, 8003)
 	}
 	for i, g := range w.gateways {
 		var err error
-		if g.callers, err = newRelay(w.at(0, i, 8100), g.front); err != nil {
+		if g.callers, err = newRelay(w.vmAddress(0, i, 8100), g.front); err != nil {
 			return err
 		}
-		if g.store, err = newRelay(w.at(0, i, 7001), store); err != nil {
+		if g.store, err = newRelay(w.vmAddress(0, i, 7001), store); err != nil {
 			return err
 		}
 		text := fmt.Sprintf("vm: %s\nzone: %s\nlisten:\n  front: %s\n  ready: %s\n  directory: %s\n  peers: %s\nseeds:%s\nstore: %s\nretry:\n  ratio: 0.2\n  slack: 60\n  window: 10s\ndrain:\n  grace: 8s\n",
-			g.vm, zone(i), g.front, g.ready, g.directory, w.at(0, i, 8003), seeds, w.at(0, i, 7001))
+			g.vm, zone(i), g.front, g.ready, g.directory, w.vmAddress(0, i, 8003), seeds, w.vmAddress(0, i, 7001))
 		if err := startWith(g.process, text); err != nil {
 			return err
 		}
 	}
 	for i, a := range w.agents {
 		text := fmt.Sprintf("vm: %s\nzone: %s\nservice: %s\nengine: %s\nlisten:\n  peers: %s\nstore: %s\n",
-			a.vm, zone(i), modelService, w.at(1, i, 9000), w.at(1, i, 7342), store)
+			a.vm, zone(i), modelService, w.vmAddress(1, i, 9000), w.vmAddress(1, i, 7342), store)
 		if err := startWith(a, text); err != nil {
 			return err
 		}
@@ -328,7 +333,7 @@
 	return p.run()
 }
 
-// startLimit bounds the start of a fleet.
+// startLimit is the maximum time until all gateways of a fleet are ready.
 const startLimit = 15 * time.Second
 
 func (w *world) awaitReady(ctx context.Context) error {
@@ -337,17 +342,17 @@
 	for _, g := range w.gateways {
 		for !standin.Ready(ctx, g.ready) {
 			if !wait.Sleep(ctx, 50*time.Millisecond) {
-				return errors.New(g.vm + " is not ready in time")
+				return errors.New(g.vm + " was not ready in time")
 			}
 		}
 	}
 	return nil
 }
 
-// close ends what the world started.
+// close stops everything that the world started and removes its folder.
 func (w *world) close() {
 	for _, g := range w.gateways {
-		g.end()
+		g.terminate()
 		if g.callers != nil {
 			g.callers.Close()
 		}
@@ -356,7 +361,7 @@
 		}
 	}
 	for _, a := range w.agents {
-		a.end()
+		a.terminate()
 	}
 	for _, b := range w.backends {
 		if r := b.current(); r != nil {
@@ -366,8 +371,8 @@
 			b.relay.Close()
 		}
 	}
-	if w.stores != nil {
-		_ = w.stores.Close()
+	if w.storeServer != nil {
+		_ = w.storeServer.Close()
 	}
 	if w.cancel != nil {
 		w.cancel()
