--- a/standin/outage/model.go
+++ b/standin/outage/model.go
@@ -10,97 +10,98 @@
 // Load is a load pattern with one outage.
 type Load struct {
 	Gateways int
-	Servers  int // ranks of the group
-	Slots    int // requests that a rank runs at a time
-	Rate     float64
+	Servers  int           // ranks of the group
+	Slots    int           // requests that a rank runs at the same time
+	Rate     float64       // requests a second
 	Events   float64       // mean number of a stream's events
-	Length   time.Duration // of the play
-	Begin    time.Duration // of the outage
-	Stand    time.Duration // for which the group makes no passes
+	Length   time.Duration // time during which new callers arrive
+	Begin    time.Duration // start of the outage
+	Stand    time.Duration // duration of the outage, in which the group makes no passes
 	Objective,
 	GapTarget time.Duration
-	// Callers leave after Patience without an event, or when their time limit is over,
-	// which is between 0.85 and 1 of Limit.
-	Patience, Limit time.Duration
-	Seed            uint64
+	// Callers leave after WaitLimit without an event, or when their deadline has passed,
+	// which is 0.85 to 1 times Limit after their first try.
+	WaitLimit, Limit time.Duration
+	Seed             uint64
 }
 
-// Crash is a crash of one rank among 63: the group stands for 2.2 s.
+// Crash returns the load of a crash of one of 63 ranks. The outage of the group lasts 2.2 s.
 func Crash(seed uint64) Load {
 	return Load{
 		Gateways: 9, Servers: 63, Slots: 10, Rate: 224, Events: 23, Length: 20 * time.Second,
 		Begin: 6 * time.Second, Stand: 2200 * time.Millisecond,
 		Objective: 400 * time.Millisecond, GapTarget: 120 * time.Millisecond,
-		Patience: 2 * time.Second, Limit: 8 * time.Second, Seed: seed,
+		WaitLimit: 2 * time.Second, Limit: 8 * time.Second, Seed: seed,
 	}
 }
 
 const (
 	tick = 5 * time.Millisecond
-	// poll is how often a waiting request looks for a place.
+	// poll is the interval at which waiting requests try to get a slot.
 	poll = 15 * time.Millisecond
-	// passBase and passPerStream are the length of a pass and what each stream of the
-	// mean batch adds to it; unevenFactor is how much longer passes are on the initial map,
-	// unevenTime for how long it is in use. By runs of 63 ranks.
+	// passBase is the length of a pass without streams, passPerStream what each stream of
+	// the mean batch adds to it. unevenFactor is by how much passes are longer on the initial
+	// map, unevenTime how long that map is in use. The values come from runs of 63 ranks.
 	passBase      = 41 * time.Millisecond
 	passPerStream = 4100 * time.Microsecond
 	unevenFactor  = 1.7
 	unevenTime    = 600 * time.Millisecond
-	// noticed is how long after its begin gateways know of a stand; cutAfter when engines
-	// break off what they run.
-	noticed  = 500 * time.Millisecond
-	cutAfter = 1500 * time.Millisecond
+	// detectionDelay is how long after the start of an outage gateways know of it;
+	// abortDelay is how long after it engines abort the requests that they run.
+	detectionDelay = 500 * time.Millisecond
+	abortDelay     = 1500 * time.Millisecond
 	// prefillPasses is how many passes a prompt takes before the first event.
 	prefillPasses = 2
-	// longestPart bounds the events of a stream, in parts of their mean.
-	longestPart = 2.5
-	// lateWorth is what an answer that begins late, or pauses for too long, is worth.
+	// maxEventsFactor limits the events of a stream, as a multiple of their mean number.
+	maxEventsFactor = 2.5
+	// lateWorth is the value of a response that begins late or has too long a gap between
+	// events; a response on time counts 1.
 	lateWorth = 0.25
 )
 
 // caller is one caller with its request.
 type caller struct {
-	came        time.Duration // first try
-	arrived     time.Duration // this try
-	limit       time.Duration // it leaves then
-	heard       time.Duration // of its request, or its arrival
-	left        int           // events to come
-	late        bool
-	interrupted bool // it has seen a part of its answer
-	triesLeft   int
-	prefill     int
-	gateway     *gateway
-	queued      bool // counted among the late ones that wait
-	takesLate   bool // its place is one for late requests
+	firstTry      time.Duration // time of the first try
+	arrived       time.Duration // time of the current try
+	limit         time.Duration // deadline, at which it leaves
+	lastEvent     time.Duration // time of the last event or, before any, of arrival
+	left          int           // events still to be sent
+	late          bool
+	interrupted   bool // it has received a part of the response
+	triesLeft     int
+	prefill       int
+	gateway       *gateway
+	queued        bool // counted among the late requests that wait
+	usesLateQuota bool // its slot counts against the quota of late requests
 }
 
-// gateway is what one gateway knows.
+// gateway is the state of one gateway.
 type gateway struct {
-	stand    admission.Stand
-	pacer    admission.Pacer
-	waiting  []*caller
-	late     int // late requests at servers
-	queued   int // late requests that wait
-	arrivals []time.Duration
-	ahead    int // interrupted requests among the queued
+	outage            admission.Stand
+	pacer             admission.Pacer
+	waiting           []*caller
+	late              int // late requests that run
+	queued            int // late requests that wait
+	arrivals          []time.Duration
+	interruptedQueued int // interrupted requests that queued counts
 }
 
-// play is one run of the model.
-type play struct {
+// simulation is the state of one run.
+type simulation struct {
 	load     Load
 	policy   Policy
 	rnd      *rand.Rand
 	now      time.Duration
 	gateways []*gateway
 	running  []*caller
-	back     []*caller // callers that come back at their arrival time
+	retrying []*caller // callers that retry at their arrival time
 	nextPass time.Duration
 	result   Result
 }
 
-// Run plays a load under a policy.
+// Run simulates a load under a policy.
 func Run(l Load, p Policy) Result {
-	s := &play{load: l, policy: p, rnd: rand.New(rand.NewPCG(l.Seed, 0))}
+	s := &simulation{load: l, policy: p, rnd: rand.New(rand.NewPCG(l.Seed, 0))}
 	s.result.Seconds = make([]Second, int(l.Length/time.Second))
 	for range l.Gateways {
 		s.gateways = append(s.gateways, &gateway{})
@@ -111,7 +112,7 @@
 			s.arrive(s.newCaller(next))
 			next += time.Duration(s.rnd.ExpFloat64() / l.Rate * float64(time.Second))
 		}
-		s.comeBack()
+		s.resumeRetries()
 		s.leave()
 		s.pass()
 		if s.now%poll == 0 {
@@ -121,24 +122,24 @@
 	return s.result
 }
 
-func (s *play) newCaller(at time.Duration) *caller {
+func (s *simulation) newCaller(at time.Duration) *caller {
 	limit := time.Duration((0.85 + 0.15*s.rnd.Float64()) * float64(s.load.Limit))
-	events := 1 + int(min(s.rnd.ExpFloat64(), longestPart)*(s.load.Events-1))
-	return &caller{came: at, limit: at + limit, left: events, triesLeft: 1}
+	events := 1 + int(min(s.rnd.ExpFloat64(), maxEventsFactor)*(s.load.Events-1))
+	return &caller{firstTry: at, limit: at + limit, left: events, triesLeft: 1}
 }
 
-// stands reports whether the group makes no passes.
-func (s *play) stands() bool {
+// down reports whether the outage is in progress.
+func (s *simulation) down() bool {
 	return s.now >= s.load.Begin && s.now < s.load.Begin+s.load.Stand
 }
 
-// known reports whether gateways know that it does.
-func (s *play) known() bool { return s.stands() && s.now >= s.load.Begin+noticed }
+// outageKnown reports whether gateways know of an outage in progress.
+func (s *simulation) outageKnown() bool { return s.down() && s.now >= s.load.Begin+detectionDelay }
 
-func (s *play) at(d time.Duration) time.Time { return time.Unix(1_700_000_000, 0).Add(d) }
+func (s *simulation) timeAt(d time.Duration) time.Time { return time.Unix(1_700_000_000, 0).Add(d) }
 
-func (s *play) arrive(c *caller) {
-	c.arrived, c.heard = s.now, s.now
+func (s *simulation) arrive(c *caller) {
+	c.arrived, c.lastEvent = s.now, s.now
 	c.gateway = s.gateways[s.rnd.IntN(len(s.gateways))]
 	if !c.interrupted {
 		c.gateway.arrivals = append(c.gateway.arrivals, s.now)
@@ -146,22 +147,24 @@
 	c.gateway.waiting = append(c.gateway.waiting, c)
 }
 
-func (s *play) comeBack() {
-	kept := s.back[:0]
-	for _, c := range s.back {
+// resumeRetries lets callers whose retry is due arrive again.
+func (s *simulation) resumeRetries() {
+	kept := s.retrying[:0]
+	for _, c := range s.retrying {
 		if c.arrived <= s.now {
 			s.arrive(c)
 		} else {
 			kept = append(kept, c)
 		}
 	}
-	s.back = kept
+	s.retrying = kept
 }
 
-// leave lets callers go that have heard nothing for too long.
-func (s *play) leave() {
+// leave removes callers that have waited too long for an event or whose deadline has
+// passed.
+func (s *simulation) leave() {
 	gone := func(c *caller) bool {
-		return s.now-c.heard >= s.load.Patience || s.now >= c.limit
+		return s.now-c.lastEvent >= s.load.WaitLimit || s.now >= c.limit
 	}
 	for _, g := range s.gateways {
 		g.waiting = s.without(g.waiting, gone)
@@ -169,8 +172,9 @@
 	s.running = s.without(s.running, gone)
 }
 
-// without takes the callers out that a condition holds for; they try again if they can.
-func (s *play) without(list []*caller, out func(*caller) bool) []*caller {
+// without returns the list without the callers for which out holds. These free their slots
+// and retry if they can.
+func (s *simulation) without(list []*caller, out func(*caller) bool) []*caller {
 	kept := list[:0]
 	for _, c := range list {
 		if !out(c) {
@@ -183,41 +187,42 @@
 	return kept
 }
 
-// retry lets a caller try again at a time, or counts it as lost.
-func (s *play) retry(c *caller, at time.Duration) {
+// retry schedules another try of a caller, or counts the caller as lost if it has no tries
+// left or its deadline will have passed.
+func (s *simulation) retry(c *caller, at time.Duration) {
 	if c.triesLeft == 0 || at >= c.limit {
 		s.result.lost(c)
 		return
 	}
 	c.triesLeft--
 	c.arrived = max(at, s.now+tick)
-	s.back = append(s.back, c)
+	s.retrying = append(s.retrying, c)
 }
 
-// free gives back what a caller takes at its gateway.
-func (s *play) free(c *caller) {
-	if c.takesLate {
+// free releases the slot and queue position that a caller occupies at its gateway.
+func (s *simulation) free(c *caller) {
+	if c.usesLateQuota {
 		c.gateway.late--
-		c.takesLate = false
+		c.usesLateQuota = false
 	}
 	s.dequeue(c)
 }
 
-func (s *play) dequeue(c *caller) {
+func (s *simulation) dequeue(c *caller) {
 	if c.queued {
 		c.queued = false
 		c.gateway.queued--
 		if c.interrupted {
-			c.gateway.ahead--
+			c.gateway.interruptedQueued--
 		}
 	}
 }
 
-// pass makes a pass of the group once it is due.
-func (s *play) pass() {
-	if s.stands() {
+// pass runs a pass of the group if one is due.
+func (s *simulation) pass() {
+	if s.down() {
 		s.nextPass = s.load.Begin + s.load.Stand
-		if s.now == s.load.Begin+cutAfter {
+		if s.now == s.load.Begin+abortDelay {
 			s.cut()
 		}
 		return
@@ -239,7 +244,7 @@
 	s.nextPass = s.now + s.passLength()
 }
 
-func (s *play) passLength() time.Duration {
+func (s *simulation) passLength() time.Duration {
 	batch := float64(len(s.running)) / float64(s.load.Servers)
 	length := float64(passBase) + batch*float64(passPerStream)
 	if since := s.now - s.load.Begin - s.load.Stand; since >= 0 && since < unevenTime {
@@ -248,13 +253,13 @@
 	return time.Duration(length)
 }
 
-// event hands a caller its next event and reports whether that was the last one.
-func (s *play) event(c *caller) bool {
+// event delivers the next event to a caller and reports whether it was the last one.
+func (s *simulation) event(c *caller) bool {
 	first := !c.interrupted
-	c.late = c.late || first && s.now-c.came > s.load.Objective || !first && s.now-c.heard > s.load.GapTarget
+	c.late = c.late || first && s.now-c.firstTry > s.load.Objective || !first && s.now-c.lastEvent > s.load.GapTarget
 	c.interrupted = true // from here on
-	c.heard = s.now
-	c.gateway.stand.Served(s.at(s.now))
+	c.lastEvent = s.now
+	c.gateway.outage.Served(s.timeAt(s.now))
 	if c.left--; c.left > 0 {
 		return false
 	}
@@ -263,9 +268,9 @@
 	return true
 }
 
-// cut breaks off what the engines run; the gateways go on with it elsewhere, or say that
-// it did not run.
-func (s *play) cut() {
+// cut aborts the requests that the engines run. Their gateways queue them again, to run
+// them elsewhere or to refuse them as not run.
+func (s *simulation) cut() {
 	for _, c := range s.running {
 		s.free(c)
 		c.gateway.waiting = append(c.gateway.waiting, c)
@@ -273,11 +278,11 @@
 	s.running = s.running[:0]
 }
 
-// admit lets each gateway's waiting requests look for a place.
-func (s *play) admit() {
+// admit tries to give a slot to each waiting request.
+func (s *simulation) admit() {
 	for _, g := range s.gateways {
-		if s.known() {
-			g.stand.Stands(s.at(s.now))
+		if s.outageKnown() {
+			g.outage.Stands(s.timeAt(s.now))
 		}
 		waiting := g.waiting
 		g.waiting = nil
@@ -289,14 +294,14 @@
 	}
 }
 
-// place gives a request a place, refuses it, or lets it wait on, and reports whether it
-// waits no more.
-func (s *play) place(c *caller) bool {
+// place gives a request a slot, refuses it or lets it keep waiting. It reports whether the
+// request has stopped waiting.
+func (s *simulation) place(c *caller) bool {
 	v := s.view(c)
-	if !s.known() && len(s.running) < s.load.Servers*s.load.Slots && s.policy.Takes(v) {
+	if !s.outageKnown() && len(s.running) < s.load.Servers*s.load.Slots && s.policy.Takes(v) {
 		s.dequeue(c)
-		c.takesLate = v.Request.Urgency() != admission.Punctual
-		if c.takesLate {
+		c.usesLateQuota = v.Request.Urgency() != admission.Punctual
+		if c.usesLateQuota {
 			c.gateway.late++
 		}
 		c.prefill = prefillPasses
@@ -308,34 +313,34 @@
 			c.queued = true
 			c.gateway.queued++
 			if c.interrupted {
-				c.gateway.ahead++
+				c.gateway.interruptedQueued++
 			}
 		}
 		return false
 	}
 	s.dequeue(c)
-	s.retry(c, s.now+s.policy.Pause(v, &c.gateway.pacer, s.rnd.Float64(), s.at(s.now)))
+	s.retry(c, s.now+s.policy.Pause(v, &c.gateway.pacer, s.rnd.Float64(), s.timeAt(s.now)))
 	return true
 }
 
-// view returns what a gateway knows of a request and its service.
-func (s *play) view(c *caller) View {
+// view returns what a caller's gateway knows about its request and the service.
+func (s *simulation) view(c *caller) View {
 	g := c.gateway
 	for len(g.arrivals) > 0 && g.arrivals[0] < s.now-time.Second {
 		g.arrivals = g.arrivals[1:]
 	}
 	stay := time.Duration(s.load.Events) * s.passLength()
-	room := admission.LateRoom(admission.Places{
+	quota := admission.LateRoom(admission.Places{
 		Slots: s.load.Servers * s.load.Slots, Members: s.load.Gateways, PunctualRate: float64(len(g.arrivals)), Stay: stay,
 	})
-	limit := min(c.limit, c.heard+s.load.Patience) - c.arrived
+	limit := min(c.limit, c.lastEvent+s.load.WaitLimit) - c.arrived
 	return View{
 		Request: admission.Request{
 			Age: s.now - c.arrived, Objective: s.load.Objective, Limit: limit, FirstAnswer: 150 * time.Millisecond,
 			Interrupted: c.interrupted,
 		},
-		Situation: admission.Situation{Back: g.stand.Back(s.at(s.now)), Waiting: g.queued, Room: room, Taken: g.late, Stay: stay},
-		Left:      c.limit - s.now,
-		Ahead:     g.ahead,
+		Situation:         admission.Situation{Back: g.outage.Back(s.timeAt(s.now)), Waiting: g.queued, Room: quota, Taken: g.late, Stay: stay},
+		Left:              c.limit - s.now,
+		InterruptedQueued: g.interruptedQueued,
 	}
 }
--- a/standin/outage/outage_test.go
+++ b/standin/outage/outage_test.go
@@ -9,41 +9,42 @@
 	"github.com/matryer/is"
 )
 
-// replays is with how many seeds each load is played.
-const replays = 8
+// seedsPerLoad is the number of seeds with which each load is simulated.
+const seedsPerLoad = 8
 
-// after returns the part of the worth that callers who came in the three seconds after a
-// crash earned, as a mean over seeds.
-func after(p Policy, load func(uint64) Load) float64 {
+// worthAfterCrash returns the worth for callers whose first try was from 8 s to 11 s, as a
+// mean over seeds. The outage of Crash ends at 8.2 s.
+func worthAfterCrash(p Policy, load func(uint64) Load) float64 {
 	sum := 0.0
-	for seed := range uint64(replays) {
-		sum += Run(load(seed+1), p).Between(8, 11).Worth() / replays
+	for seed := range uint64(seedsPerLoad) {
+		sum += Run(load(seed+1), p).Between(8, 11).Worth() / seedsPerLoad
 	}
 	return sum
 }
 
+// mean returns the worth for all callers, as a mean over seeds.
 func mean(p Policy, load func(uint64) Load) float64 {
 	sum := 0.0
-	for seed := range uint64(replays) {
+	for seed := range uint64(seedsPerLoad) {
 		l := load(seed + 1)
-		sum += Run(l, p).Between(0, int(l.Length/time.Second)).Worth() / replays
+		sum += Run(l, p).Between(0, int(l.Length/time.Second)).Worth() / seedsPerLoad
 	}
 	return sum
 }
 
-// The load of a crash: who comes after the group is back is served on time, though a
-// backlog of two seconds waits.
-func TestWhoComesAfterAStandIsOnTime(t *testing.T) {
+// Callers who arrive after the group is back must be served on time even though a backlog
+// of two seconds is waiting.
+func TestCallersAfterOutageAreServedOnTime(t *testing.T) {
 	is := is.New(t)
-	own := after(Admission{}, Crash)
-	t.Logf("admission %.3f, fixed pauses %.3f, as they come %.3f", own, after(Fixed{}, Crash), after(AsTheyCome{}, Crash))
+	own := worthAfterCrash(Admission{}, Crash)
+	t.Logf("admission %.3f, fixed pauses %.3f, as they come %.3f", own, worthAfterCrash(Fixed{}, Crash), worthAfterCrash(Unrestricted{}, Crash))
 	is.True(own > 0.93)
-	is.True(own > after(Fixed{}, Crash)+0.05)
-	is.True(own > after(AsTheyCome{}, Crash)+0.1)
+	is.True(own > worthAfterCrash(Fixed{}, Crash)+0.05)
+	is.True(own > worthAfterCrash(Unrestricted{}, Crash)+0.1)
 }
 
-// What punctual requests gain, others must not lose as much of.
-func TestTheBacklogIsServedAsWell(t *testing.T) {
+// The gain of requests that are on time must not be outweighed by the loss of the others.
+func TestAdmissionIsNotWorseThanUnrestricted(t *testing.T) {
 	cases := []struct {
 		name string
 		load func(uint64) Load
@@ -51,21 +52,22 @@
 		{"crash", Crash},
 		{"many requests", func(seed uint64) Load { l := Crash(seed); l.Rate = 280; return l }},
 		{"few requests", func(seed uint64) Load { l := Crash(seed); l.Rate = 120; return l }},
-		{"long stand", func(seed uint64) Load { l := Crash(seed); l.Stand = 4 * time.Second; return l }},
-		{"short stand", func(seed uint64) Load { l := Crash(seed); l.Stand = 700 * time.Millisecond; return l }},
+		{"long outage", func(seed uint64) Load { l := Crash(seed); l.Stand = 4 * time.Second; return l }},
+		{"short outage", func(seed uint64) Load { l := Crash(seed); l.Stand = 700 * time.Millisecond; return l }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			own, others := mean(Admission{}, c.load), mean(AsTheyCome{}, c.load)
+			own, others := mean(Admission{}, c.load), mean(Unrestricted{}, c.load)
 			t.Logf("admission %.3f, as they come %.3f", own, others)
 			is.True(own >= others)
 		})
 	}
 }
 
-// Without an outage nobody is late but by a long prompt's luck, and nobody is lost.
-func TestACalmLoadIsServedWhole(t *testing.T) {
+// Without an outage no caller is lost, and only a few responses are late by chance, after a
+// long prompt.
+func TestAllAreServedWithoutOutage(t *testing.T) {
 	is := is.New(t)
 	l := Crash(1)
 	l.Rate, l.Stand, l.Begin = 120, 0, time.Hour
@@ -74,17 +76,17 @@
 	is.True(all.Worth() > 0.99)
 }
 
-func TestAPlayIsTheSameForTheSameSeed(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Run(Crash(7), Admission{}), Run(Crash(7), Admission{}))
 }
 
-func TestAComparisonIsWritten(t *testing.T) {
+func TestComparisonTableAndPlot(t *testing.T) {
 	is := is.New(t)
 	c := Compare(Crash, Policies(), 1)
 	var table, plot bytes.Buffer
 	is.NoErr(c.Table(&table))
 	is.NoErr(c.Plot(&plot))
-	is.Equal(strings.Count(table.String(), "\n"), 22) // a head, 20 seconds, the mean
+	is.Equal(strings.Count(table.String(), "\n"), 22) // a header, 20 seconds and the mean
 	is.True(strings.Contains(plot.String(), "<svg"))
 }
--- a/standin/outage/policy.go
+++ b/standin/outage/policy.go
@@ -6,23 +6,23 @@
 	"baywall.example/entry/admission"
 )
 
-// View is what a gateway knows of a request and its service.
+// View is what a gateway knows about a request and its service.
 type View struct {
-	Request   admission.Request
-	Situation admission.Situation
-	Left      time.Duration // until the caller's time limit
-	Ahead     int           // interrupted requests that wait at the gateway
+	Request           admission.Request
+	Situation         admission.Situation
+	Left              time.Duration // until the caller's deadline
+	InterruptedQueued int           // interrupted requests that wait at the gateway
 }
 
-// Policy decides about requests.
+// Policy decides which requests run, wait or are refused.
 type Policy interface {
-	// Name names the policy in tables.
+	// Name returns the name of the policy in tables and plots.
 	Name() string
-	// Takes reports whether the request takes a place that is free.
+	// Takes reports whether the request may take a free slot.
 	Takes(v View) bool
-	// Waits reports whether it waits for one; otherwise it is refused.
+	// Waits reports whether the request may wait for a slot; otherwise it is refused.
 	Waits(v View) bool
-	// Pause returns for how long its caller is to stay away after a refusal.
+	// Pause returns how long the caller has to wait before it retries after a refusal.
 	Pause(v View, p *admission.Pacer, draw float64, now time.Time) time.Duration
 }
 
@@ -37,7 +37,7 @@
 	switch {
 	case v.Request.Urgency() == admission.Punctual:
 		return true
-	case !v.Request.Interrupted && v.Ahead > 0:
+	case !v.Request.Interrupted && v.InterruptedQueued > 0:
 		return false
 	default:
 		return float64(v.Situation.Taken+1) <= v.Situation.Room
@@ -52,24 +52,25 @@
 	return p.Pause(v.Situation, v.Left, draw, now)
 }
 
-// AsTheyCome gives places to whoever is there, holds everybody as long as its caller
-// waits, and refuses nobody.
-type AsTheyCome struct{}
+// Unrestricted gives any free slot to any request, lets requests wait as long as their
+// callers do, and refuses none.
+type Unrestricted struct{}
 
 // Name implements Policy.
-func (AsTheyCome) Name() string { return "as they come" }
+func (Unrestricted) Name() string { return "as they come" }
 
 // Takes implements Policy.
-func (AsTheyCome) Takes(View) bool { return true }
+func (Unrestricted) Takes(View) bool { return true }
 
 // Waits implements Policy.
-func (AsTheyCome) Waits(View) bool { return true }
+func (Unrestricted) Waits(View) bool { return true }
 
 // Pause implements Policy.
-func (AsTheyCome) Pause(View, *admission.Pacer, float64, time.Time) time.Duration { return 0 }
+func (Unrestricted) Pause(View, *admission.Pacer, float64, time.Time) time.Duration { return 0 }
 
-// Fixed gives places to whoever is there, and refuses what finds none within an eighth of
-// its objective, with pauses of 0.25 s, or 2 s while nothing serves.
+// Fixed gives any free slot to any request. It refuses requests that get no slot within an
+// eighth of their objective, or at once during an outage, and interrupted ones after 1.5 s.
+// Callers pause for 0.25 s, or 2 s during an outage.
 type Fixed struct{}
 
 // Name implements Policy.
@@ -95,27 +96,27 @@
 	return min(v.Left/3, pause+time.Duration(0.2*draw*float64(pause)))
 }
 
-// NoRoom is Admission without places kept for punctual requests.
-type NoRoom struct{ Admission }
+// NoQuota is Admission without slots reserved for requests that are on time.
+type NoQuota struct{ Admission }
 
 // Name implements Policy.
-func (NoRoom) Name() string { return "admission, late ones take any place" }
+func (NoQuota) Name() string { return "admission, late ones take any place" }
 
 // Takes implements Policy.
-func (NoRoom) Takes(View) bool { return true }
+func (NoQuota) Takes(View) bool { return true }
 
-// NoPace is Admission with fixed pauses.
-type NoPace struct{ Admission }
+// NoPacing is Admission with the pauses of Fixed.
+type NoPacing struct{ Admission }
 
 // Name implements Policy.
-func (NoPace) Name() string { return "admission, fixed pauses" }
+func (NoPacing) Name() string { return "admission, fixed pauses" }
 
 // Pause implements Policy.
-func (NoPace) Pause(v View, p *admission.Pacer, draw float64, now time.Time) time.Duration {
+func (NoPacing) Pause(v View, p *admission.Pacer, draw float64, now time.Time) time.Duration {
 	return Fixed{}.Pause(v, p, draw, now)
 }
 
-// InterruptedFirst is Admission with any free place for interrupted requests.
+// InterruptedFirst is Admission, except that interrupted requests may take any free slot.
 type InterruptedFirst struct{ Admission }
 
 // Name implements Policy.
@@ -126,7 +127,7 @@
 	return v.Request.Interrupted || p.Admission.Takes(v)
 }
 
-// Policies are the policies that are compared, the product's first.
+// Policies returns the policies to compare, the product's first.
 func Policies() []Policy {
-	return []Policy{Admission{}, InterruptedFirst{}, NoRoom{}, NoPace{}, Fixed{}, AsTheyCome{}}
+	return []Policy{Admission{}, InterruptedFirst{}, NoQuota{}, NoPacing{}, Fixed{}, Unrestricted{}}
 }
--- a/standin/outage/result.go
+++ b/standin/outage/result.go
@@ -9,10 +9,11 @@
 	"github.com/wcharczuk/go-chart/v2"
 )
 
-// Second is what became of the callers that came in one second.
+// Second counts the callers whose first try was in one second, by outcome.
 type Second struct{ OnTime, Late, Lost int }
 
-// Worth returns the part of the worth that was earned, 1 where nobody came.
+// Worth returns the mean value of the callers' responses: 1 for one on time, lateWorth for
+// a late one and 0 for a lost caller. It returns 1 if there were no callers.
 func (s Second) Worth() float64 {
 	all := s.OnTime + s.Late + s.Lost
 	if all == 0 {
@@ -21,11 +22,11 @@
 	return (float64(s.OnTime) + lateWorth*float64(s.Late)) / float64(all)
 }
 
-// Result is what one play came to, by the second of callers' first tries.
+// Result is the result of one simulation, by the second of the callers' first tries.
 type Result struct{ Seconds []Second }
 
 func (r *Result) of(c *caller) *Second {
-	return &r.Seconds[min(len(r.Seconds)-1, int(c.came/time.Second))]
+	return &r.Seconds[min(len(r.Seconds)-1, int(c.firstTry/time.Second))]
 }
 
 func (r *Result) served(c *caller) {
@@ -38,7 +39,7 @@
 
 func (r *Result) lost(c *caller) { r.of(c).Lost++ }
 
-// Between sums up the seconds from one to another, which is not included.
+// Between returns the sum of the seconds from from up to, but not including, to.
 func (r Result) Between(from, to int) Second {
 	var sum Second
 	for _, s := range r.Seconds[from:to] {
@@ -49,13 +50,13 @@
 	return sum
 }
 
-// Comparison is the worth by second of several policies, each the mean over seeds.
+// Comparison holds the worth per second under several policies, as a mean over seeds.
 type Comparison struct {
 	Names []string
 	Worth [][]float64 // by policy and second
 }
 
-// Compare plays a load with a number of seeds under each policy.
+// Compare simulates a load with a number of seeds under each policy.
 func Compare(load func(seed uint64) Load, policies []Policy, seeds int) Comparison {
 	var out Comparison
 	for _, p := range policies {
@@ -74,7 +75,7 @@
 	return out
 }
 
-// Table writes a row for each second.
+// Table writes a table with a row for each second.
 func (c Comparison) Table(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "second\t")
@@ -101,7 +102,7 @@
 
 const plotWidth, plotHeight = 1200, 480 // pixels
 
-// Plot writes an SVG picture with a line for each policy.
+// Plot writes an SVG plot with a line for each policy.
 func (c Comparison) Plot(out io.Writer) error {
 	graph := chart.Chart{
 		Width: plotWidth, Height: plotHeight,
