--- a/standin/history/history.go
+++ b/standin/history/history.go
@@ -1,15 +1,15 @@
 // Package history checks recorded histories of concurrent runs against models
-// of what must always hold, with the porcupine linearizability checker.
+// of invariants, with the porcupine linearizability checker.
 //
 // The outcome model has one state for each piece of work: how often it ran,
-// and whether a caller was told that it did not. A run is a point in time, a
-// request an interval. A history is legal if there is an order of points in
-// which no work that may run once runs twice, nothing runs after a "not-run",
-// and every answer has a run before it.
+// and whether a caller was told that it did not run. An execution is a point in
+// time, a request an interval. A history is legal if its operations can be ordered
+// so that no non-idempotent work runs twice, no work runs after a caller was told
+// "not-run", and each answered request has an execution before it.
 //
 // The revision model has one state for each VM: the largest configuration
-// revision that was seen in force there, or that a status said was. What is
-// seen later must not be smaller, whatever restarts lie between.
+// revision that was observed in force there, or that a status reported. Later
+// observations must not be smaller, even after restarts.
 package history
 
 import (
@@ -23,20 +23,20 @@
 	"baywall.example/standin/load"
 )
 
-// checkTimeout bounds one check; a check that does not end counts as failed.
+// checkTimeout limits the time of one check. A check that does not end in time fails.
 const checkTimeout = 30 * time.Second
 
 // work is the input of the outcome model.
 type work struct {
 	id            string
-	run           bool // otherwise a request
+	execution     bool // false for a request
 	nonIdempotent bool
 }
 
 // workState is the state of the outcome model.
 type workState struct {
-	runs   int
-	denied bool // some caller was told "not-run"
+	runs       int
+	toldNotRun bool // some caller was told "not-run"
 }
 
 func outcomeModel() porcupine.Model {
@@ -53,8 +53,8 @@
 }
 
 func stepOutcome(s workState, in work, output any) (bool, any) {
-	if in.run {
-		if s.denied || in.nonIdempotent && s.runs > 0 {
+	if in.execution {
+		if s.toldNotRun || in.nonIdempotent && s.runs > 0 {
 			return false, s
 		}
 		s.runs++
@@ -67,14 +67,14 @@
 		if s.runs > 0 {
 			return false, s
 		}
-		s.denied = true
+		s.toldNotRun = true
 		return true, s
 	default:
 		return true, s
 	}
 }
 
-// partition groups operations by key, keeping their order.
+// partition groups operations by key and keeps their order.
 func partition(history []porcupine.Operation, key func(porcupine.Operation) string) [][]porcupine.Operation {
 	groups := make(map[string][]porcupine.Operation)
 	var order []string
@@ -92,7 +92,7 @@
 	return out
 }
 
-// CheckOutcomes checks what callers were told against what ran.
+// CheckOutcomes checks the outcomes that callers received against the executions.
 func CheckOutcomes(results []load.Result, executions []ledger.Execution) error {
 	once := make(map[string]bool, len(results))
 	var ops []porcupine.Operation
@@ -106,7 +106,7 @@
 	for i, e := range executions {
 		at := e.At.UnixNano()
 		ops = append(ops, porcupine.Operation{
-			ClientId: len(results) + i, Input: work{id: e.Work, run: true, nonIdempotent: once[e.Work]},
+			ClientId: len(results) + i, Input: work{id: e.Work, execution: true, nonIdempotent: once[e.Work]},
 			Call: at, Return: at + 1,
 		})
 	}
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// firstIllegal describes the first part of a history that is not legal.
+// firstIllegal describes the first partition of a history that is not legal.
 func firstIllegal(m porcupine.Model, ops []porcupine.Operation) string {
 	for _, part := range m.Partition(ops) {
 		if porcupine.CheckOperationsTimeout(m, part, checkTimeout) == porcupine.Ok {
@@ -135,14 +135,15 @@
 	return ""
 }
 
-// Revisions collects what was seen in force. It is safe for concurrent use.
+// Revisions collects observations of configuration revisions in force. It is safe for
+// concurrent use.
 type Revisions struct {
 	mu  sync.Mutex
 	ops []porcupine.Operation
 }
 
-// Saw records that between call and return the VM was seen to have at least
-// the revision.
+// Saw records an observation, made between called and returned, that at least the revision
+// was in force at the VM.
 func (r *Revisions) Saw(vm string, revision uint64, called, returned time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,14 +152,14 @@
 	})
 }
 
-// Len returns the number of records.
+// Len returns the number of observations.
 func (r *Revisions) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.ops)
 }
 
-// Check checks that no VM's revision went back.
+// Check checks that no VM's revision decreased.
 func (r *Revisions) Check() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/standin/history/history_test.go
+++ b/standin/history/history_test.go
@@ -18,21 +18,21 @@
 	"baywall.example/standin/load"
 )
 
-// handOver decides whether a recorded attempt goes to the backend server.
+// handOver decides whether a recorded attempt is passed to the backend server.
 type handOver func(*record.Table, *record.Attempt) bool
 
-// presentation is one caller's presentation of a ticket, cut into the steps
-// between which other callers may come.
+// presentation is one caller's presentation of a ticket, divided into steps that can
+// interleave with those of other callers.
 type presentation struct {
-	ticket  *contract.Ticket
-	id      contract.AttemptID
-	asks    bool // asks for the fate after it was accepted
-	next    int  // step
-	verdict record.Verdict
-	result  load.Result
+	ticket      *contract.Ticket
+	id          contract.AttemptID
+	queriesFate bool // queries the outcome after Accept
+	nextStep    int  // step to execute next
+	verdict     record.Verdict
+	result      load.Result
 }
 
-// steps of a presentation.
+// Steps of a presentation.
 const (
 	stepAccept = iota
 	stepFate
@@ -40,9 +40,9 @@
 	stepCount
 )
 
-// presentTickets lets several callers present tickets to one agent's record,
-// some of them asking for the fate meanwhile, and returns the history. The seed
-// alone decides how their steps interleave, and each step takes a millisecond.
+// presentTickets lets several callers present tickets to one agent's record, some
+// of which also query the outcome of their attempt, and returns the history. The
+// seed alone determines how their steps interleave. Each step takes a millisecond.
 func presentTickets(seed uint64, decide handOver) ([]load.Result, []ledger.Execution) {
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	now := time.Unix(1_700_000_000, 0)
@@ -52,10 +52,10 @@
 	for i := range 40 {
 		work := fmt.Sprintf("work-%d", i/4) // 4 presentations of each ticket
 		waiting = append(waiting, &presentation{
-			ticket: &contract.Ticket{Service: "s", VM: "a", Incarnation: incarnation, Nonce: work, Issued: now, Expires: now.Add(time.Minute)},
-			id:     contract.AttemptID{Request: contract.RequestID(fmt.Sprint(i)), Number: 1},
-			asks:   rnd.IntN(2) == 0,
-			result: load.Result{Request: load.Request{Work: work, NonIdempotent: true}, Outcome: load.Unknown},
+			ticket:      &contract.Ticket{Service: "s", VM: "a", Incarnation: incarnation, Nonce: work, Issued: now, Expires: now.Add(time.Minute)},
+			id:          contract.AttemptID{Request: contract.RequestID(fmt.Sprint(i)), Number: 1},
+			queriesFate: rnd.IntN(2) == 0,
+			result:      load.Result{Request: load.Request{Work: work, NonIdempotent: true}, Outcome: load.Unknown},
 		})
 	}
 	var results []load.Result
@@ -67,7 +67,7 @@
 		if p.step(table, decide, clock) {
 			executions = append(executions, ledger.Execution{Work: p.result.Work, At: clock})
 		}
-		if p.next == stepCount {
+		if p.nextStep == stepCount {
 			p.result.Returned = clock.Add(time.Microsecond)
 			results = append(results, p.result)
 			waiting = append(waiting[:at], waiting[at+1:]...)
@@ -76,15 +76,15 @@
 	return results, executions
 }
 
-// step takes the presentation's next step and reports whether its work ran.
+// step executes the presentation's next step and reports whether its work ran.
 func (p *presentation) step(table *record.Table, decide handOver, now time.Time) (ran bool) {
-	defer func() { p.next++ }()
-	switch p.next {
+	defer func() { p.nextStep++ }()
+	switch p.nextStep {
 	case stepAccept:
 		p.result.Called = now
 		p.verdict = table.Accept(p.id, p.ticket, now)
 	case stepFate:
-		if p.asks {
+		if p.queriesFate {
 			table.Fate(record.Query{ID: p.id, Incarnation: p.ticket.Incarnation, Sent: p.result.Called, Deadline: p.ticket.Expires}, now)
 		}
 	case stepHandOver:
@@ -107,7 +107,7 @@
 	return false
 }
 
-func TestOutcomesOfTheRecordAreLegal(t *testing.T) {
+func TestRecordOutcomesAreLegal(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(30) {
 		results, executions := presentTickets(seed, func(t *record.Table, a *record.Attempt) bool { return t.HandOver(a) })
@@ -115,9 +115,9 @@
 	}
 }
 
-// A record that hands over without looking at tombstones runs what others were
-// told did not run.
-func TestPlantedHandOverOfATombstoneIsFound(t *testing.T) {
+// A record that ignores tombstones passes on work that other callers were told did
+// not run. The check must detect this.
+func TestRunOfTombstonedAttemptIsDetected(t *testing.T) {
 	for seed := range uint64(300) {
 		results, executions := presentTickets(seed, func(t *record.Table, a *record.Attempt) bool {
 			t.HandOver(a)
@@ -127,7 +127,7 @@
 			return
 		}
 	}
-	t.Fatal("not found in 300 seeds")
+	t.Fatal("not detected in 300 seeds")
 }
 
 func TestOutcomeModel(t *testing.T) {
@@ -159,8 +159,8 @@
 	}
 }
 
-// applyConcurrently offers versions in any order to a store while others read
-// which one is in force.
+// applyConcurrently applies revisions in random order to a store while readers
+// observe which one is in force.
 func applyConcurrently(seed uint64, apply func(*configuration.Store, configuration.Batch)) *Revisions {
 	store := configuration.NewStore(false)
 	key := resource.Key{Kind: resource.KindTeam, Name: "t"}
@@ -190,7 +190,7 @@
 	return seen
 }
 
-func TestRevisionsOfTheStoreAreLegal(t *testing.T) {
+func TestStoreRevisionsAreLegal(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(20) {
 		seen := applyConcurrently(seed, func(s *configuration.Store, b configuration.Batch) { s.Apply(b) })
@@ -198,23 +198,23 @@
 	}
 }
 
-// A process that starts over with an empty store and takes what it is offered
-// first goes back.
-func TestPlantedRevertIsFound(t *testing.T) {
+// A process that restarts with an empty store and accepts the first revision that it
+// receives reverts to an older one. The check must detect this.
+func TestRevertAfterRestartIsDetected(t *testing.T) {
 	for seed := range uint64(100) {
-		if revertFound(seed) {
+		if revertDetected(seed) {
 			return
 		}
 	}
-	t.Fatal("not found in 100 seeds")
+	t.Fatal("not detected in 100 seeds")
 }
 
-func revertFound(seed uint64) bool {
+func revertDetected(seed uint64) bool {
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	key := resource.Key{Kind: resource.KindTeam, Name: "t"}
 	seen := &Revisions{}
 	for range 20 {
-		store := configuration.NewStore(false) // the planted bug
+		store := configuration.NewStore(false) // the fault to detect: each restart begins with an empty store
 		rev := 1 + rnd.Uint64N(100)
 		spec := []byte(fmt.Sprintf(`{"concurrency": %d}`, rev))
 		store.Apply(configuration.Batch{Revision: rev, Records: []configuration.Record{{Key: key, Revision: rev, Spec: spec}}})
