--- a/standin/chaos/chaos.go
+++ b/standin/chaos/chaos.go
@@ -1,4 +1,4 @@
-// Package chaos injects faults into a running fleet, drawn from a seed.
+// Package chaos injects random faults into a running fleet. The seed determines them.
 package chaos
 
 import (
@@ -11,7 +11,7 @@
 	"baywall.example/standin/fleet"
 )
 
-// Kind is a type of fault.
+// Kind is a kind of fault.
 type Kind string
 
 // Kinds of faults.
@@ -31,48 +31,48 @@
 	Leave         Kind = "leave-and-return"
 )
 
-// Abrupt are the faults that may end requests as unknown.
+// Abrupt returns the faults after which the outcome of a request may be unknown.
 func Abrupt() []Kind {
 	return []Kind{KillAgent, KillEntry, PauseAgent, PauseEntry, ResetLinks, Partition, OneWayCut, PlatformDown, PlatformStale, ConfigRace}
 }
 
-// Graceful are the faults under which nothing may be cut or unknown.
+// Graceful returns the faults during which no response may be cut and no outcome may be
+// unknown.
 func Graceful() []Kind {
 	return []Kind{StopAgent, StopEntry, Leave, ConfigRace, PlatformDown, PlatformStale}
 }
 
-// Injector injects faults one after the other. It is not safe for concurrent
-// use.
+// Injector injects faults one at a time. It is not safe for concurrent use.
 type Injector struct {
-	fleet *fleet.Fleet
-	rnd   *rand.Rand
-	kinds []Kind
-	log   func(format string, args ...any)
-	races int
+	fleet   *fleet.Fleet
+	rnd     *rand.Rand
+	kinds   []Kind
+	log     func(format string, args ...any)
+	changes int
 }
 
-// New returns an injector whose choices depend on the seed alone.
+// New returns an injector whose choices are determined by the seed alone.
 func New(f *fleet.Fleet, seed uint64, kinds []Kind, log func(format string, args ...any)) *Injector {
 	return &Injector{fleet: f, rnd: rand.New(rand.NewPCG(seed, 99)), kinds: kinds, log: log}
 }
 
 const (
-	minPause = 300 * time.Millisecond
-	maxPause = 2500 * time.Millisecond
-	calm     = 400 * time.Millisecond
+	minDuration   = 300 * time.Millisecond
+	maxDuration   = 2500 * time.Millisecond
+	faultInterval = 400 * time.Millisecond
 )
 
-// Run injects faults for the duration and leaves the fleet whole.
+// Run injects faults for the duration and ends the last one before it returns.
 func (i *Injector) Run(d time.Duration) {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
-		i.one(i.kinds[i.rnd.IntN(len(i.kinds))])
-		time.Sleep(calm)
+		i.inject(i.kinds[i.rnd.IntN(len(i.kinds))])
+		time.Sleep(faultInterval)
 	}
 }
 
-func (i *Injector) pause() time.Duration {
-	return minPause + time.Duration(i.rnd.Int64N(int64(maxPause-minPause)))
+func (i *Injector) duration() time.Duration {
+	return minDuration + time.Duration(i.rnd.Int64N(int64(maxDuration-minDuration)))
 }
 
 func (i *Injector) pick(role vm.Role) vm.ID {
@@ -80,7 +80,7 @@
 	return list[i.rnd.IntN(len(list))].ID
 }
 
-func (i *Injector) one(k Kind) {
+func (i *Injector) inject(k Kind) {
 	switch k {
 	case KillAgent, KillEntry:
 		i.kill(k, i.pick(roleOf(k)))
@@ -97,20 +97,20 @@
 	case OneWayCut:
 		i.oneWay()
 	case PlatformDown:
-		d := i.pause()
+		d := i.duration()
 		i.log("%s for %s", k, d)
 		i.fleet.Platform.SetDown(true)
 		time.Sleep(d)
 		i.fleet.Platform.SetDown(false)
 	case PlatformStale:
-		d := i.pause()
+		d := i.duration()
 		i.log("%s for %s", k, d)
 		i.fleet.Platform.Freeze(true)
-		i.race()
+		i.changeConcurrently()
 		time.Sleep(d)
 		i.fleet.Platform.Freeze(false)
 	case ConfigRace:
-		i.race()
+		i.changeConcurrently()
 	case Leave:
 		i.leave(i.pick(vm.RoleBackend))
 	}
@@ -126,7 +126,7 @@
 }
 
 func (i *Injector) kill(k Kind, id vm.ID) {
-	d := i.pause()
+	d := i.duration()
 	i.log("%s %s for %s", k, id, d)
 	p := i.fleet.Process(id)
 	p.Kill()
@@ -135,7 +135,7 @@
 }
 
 func (i *Injector) freeze(k Kind, id vm.ID) {
-	d := i.pause()
+	d := i.duration()
 	i.log("%s %s for %s", k, id, d)
 	p := i.fleet.Process(id)
 	p.Pause()
@@ -151,7 +151,7 @@
 	_ = p.Restart()
 }
 
-// partition cuts one availability zone off from the others.
+// partition blocks traffic between one availability zone and the others.
 func (i *Injector) partition() {
 	zone := i.fleet.Site.Zones[i.rnd.IntN(len(i.fleet.Site.Zones))]
 	var in, out []string
@@ -162,17 +162,17 @@
 			out = append(out, i.fleet.IP(v.ID))
 		}
 	}
-	d := i.pause()
+	d := i.duration()
 	i.log("%s of %s for %s", Partition, zone, d)
 	i.fleet.Network.Partition(in, out, true)
 	time.Sleep(d)
 	i.fleet.Network.Partition(in, out, false)
 }
 
-// oneWay holds what one backend server's agent sends to all entry VMs.
+// oneWay blocks traffic from one backend server's agent to all entry VMs.
 func (i *Injector) oneWay() {
 	id := i.pick(vm.RoleBackend)
-	d := i.pause()
+	d := i.duration()
 	i.log("%s from %s for %s", OneWayCut, id, d)
 	for _, v := range (vm.List{VMs: i.fleet.VMs()}).WithRole(vm.RoleEntry) {
 		i.fleet.Network.Block(i.fleet.IP(id), i.fleet.IP(v.ID), true)
@@ -181,26 +181,26 @@
 	time.Sleep(d)
 }
 
-// race plays two operators who change the same resources at once, one of them
-// with a mistake.
-func (i *Injector) race() {
-	i.races++
-	team := fmt.Sprintf("race-%d", i.races%3)
+// changeConcurrently simulates two operators who change the same team at the same time,
+// one of them with an invalid value, and changes the entry subset of a service.
+func (i *Injector) changeConcurrently() {
+	i.changes++
+	team := fmt.Sprintf("race-%d", i.changes%3)
 	i.log("%s on team %s", ConfigRace, team)
-	i.fleet.Platform.Put(resource.KindTeam, team, resource.Team{Concurrency: 10 + i.races})
+	i.fleet.Platform.Put(resource.KindTeam, team, resource.Team{Concurrency: 10 + i.changes})
 	i.fleet.Platform.Put(resource.KindTeam, team, map[string]any{"concurrency": -1})
 	svc := i.fleet.Site.Services[i.rnd.IntN(len(i.fleet.Site.Services))]
 	spec := svc.Spec
-	spec.EntrySubset = 3 + i.races%3
+	spec.EntrySubset = 3 + i.changes%3
 	i.fleet.Platform.Put(resource.KindService, svc.Name, spec)
 }
 
-// leave lists a backend server as leaving, then stops its agent gracefully,
-// and brings it back.
+// leave lists a backend server as leaving, stops its agent gracefully, restarts the
+// agent and lists the server as live again.
 func (i *Injector) leave(id vm.ID) {
 	i.log("%s %s", Leave, id)
 	i.fleet.SetState(id, vm.StateLeaving)
-	time.Sleep(i.pause())
+	time.Sleep(i.duration())
 	p := i.fleet.Process(id)
 	p.Terminate()
 	<-p.Done()
--- a/standin/faults/network.go
+++ b/standin/faults/network.go
@@ -1,10 +1,10 @@
-// Package faults is a proxy between the processes of a fleet that delays, holds
-// and resets what they send each other, over TCP and UDP.
+// Package faults implements a proxy between the processes of a fleet that delays,
+// holds back and resets their TCP connections and delays or drops their UDP datagrams.
 //
-// Each VM publishes addresses on which the proxy listens, and listens itself on
-// other ports of the same IP. The proxy knows both ends of a connection by IP,
-// as processes bind their outgoing connections to their own IP, and it dials on
-// from the same IP, so that nobody notices it.
+// The proxy listens on the addresses that a VM publishes; the VM itself listens on
+// other ports of the same IP. Processes bind outgoing connections to their own IP, so
+// that the proxy can identify both ends of a connection by IP. It dials the target from
+// the IP of the client, so that the target sees the same remote IP as without a proxy.
 package faults
 
 import (
@@ -15,22 +15,23 @@
 	"time"
 )
 
-// Pair is a direction between two IPs.
+// Pair is one direction of traffic between two IPs.
 type Pair struct{ From, To string }
 
 // Network is the set of proxied addresses with the faults in force. It is safe
 // for concurrent use.
 type Network struct {
-	delay func(Pair) time.Duration
+	delay func(Pair) time.Duration // one-way delay of a direction
 
 	mu      sync.Mutex
 	blocked map[Pair]bool
-	changed chan struct{}
+	changed chan struct{} // closed and replaced when blocked changes
 	conns   map[*connection]struct{}
 	closers []io.Closer
 }
 
-// New returns a network with the one-way delay of each direction.
+// New returns a network without faults. The function delay returns the one-way delay of a
+// direction.
 func New(delay func(Pair) time.Duration) *Network {
 	return &Network{
 		delay: delay, blocked: make(map[Pair]bool),
@@ -38,9 +39,9 @@
 	}
 }
 
-// Block holds everything sent from one IP to another, in this direction only,
-// or lets the held bytes go on. Nothing is lost, as in a TCP connection over a
-// dead path; datagrams are dropped.
+// Block blocks or unblocks the direction from one IP to another. Bytes of TCP connections
+// are held back while the direction is blocked and sent afterwards, as after an outage of
+// a network path. Datagrams are dropped.
 func (n *Network) Block(from, to string, blocked bool) {
 	n.setBlocked(Pair{from, to}, blocked)
 }
@@ -63,7 +64,7 @@
 	n.changed = make(chan struct{})
 }
 
-// Reset cuts all connections between two IPs.
+// Reset resets all TCP connections between two IPs.
 func (n *Network) Reset(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,8 +75,9 @@
 	}
 }
 
-// await returns once the direction is not blocked, or the context ends.
-func (n *Network) await(ctx context.Context, p Pair) bool {
+// awaitUnblocked waits until the direction is not blocked. It returns false if the context
+// ends first.
+func (n *Network) awaitUnblocked(ctx context.Context, p Pair) bool {
 	for {
 		n.mu.Lock()
 		blocked, changed := n.blocked[p], n.changed
@@ -91,7 +93,7 @@
 	}
 }
 
-// Close stops all proxying.
+// Close closes all listeners and resets all connections.
 func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -103,7 +105,7 @@
 	}
 }
 
-// TCP proxies connections to the published address on to the real one.
+// TCP forwards TCP connections from the published address to the real one.
 func (n *Network) TCP(published, real string) error {
 	ln, err := net.Listen("tcp", published)
 	if err != nil {
@@ -126,7 +128,7 @@
 
 // connection is one proxied connection.
 type connection struct {
-	pair   Pair // from the dialing side
+	pair   Pair // direction from the client to the server
 	client net.Conn
 	server net.Conn
 	cancel context.CancelFunc
@@ -152,7 +154,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &connection{pair: Pair{hostOf(client.RemoteAddr()), host}, client: client, cancel: cancel}
 	defer c.reset()
-	if !n.await(ctx, c.pair) {
+	if !n.awaitUnblocked(ctx, c.pair) {
 		return
 	}
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(c.pair.From)}}
@@ -176,7 +178,7 @@
 	wg.Wait()
 }
 
-// packet is some bytes with the time at which they are due.
+// packet is a piece of data with the time at which it is to be sent on.
 type packet struct {
 	data []byte
 	due  time.Time
@@ -187,7 +189,7 @@
 	pipeDepth  = 256
 )
 
-// pipe copies one direction, each piece after the delay.
+// pipe forwards one direction of a connection and delays each piece of data.
 func (n *Network) pipe(ctx context.Context, from, to net.Conn, p Pair) {
 	packets := make(chan packet, pipeDepth)
 	go func() {
@@ -211,7 +213,7 @@
 		if wait := time.Until(pk.due); wait > 0 {
 			time.Sleep(wait)
 		}
-		if !n.await(ctx, p) {
+		if !n.awaitUnblocked(ctx, p) {
 			return
 		}
 		if _, err := to.Write(pk.data); err != nil {
@@ -224,10 +226,10 @@
 	}
 }
 
-// maxDatagram is the largest datagram passed on, in bytes.
+// maxDatagram is the size of the largest datagram that is forwarded whole, in bytes.
 const maxDatagram = 16 << 10
 
-// UDP proxies datagrams to the published address on to the real one.
+// UDP forwards datagrams from the published address to the real one.
 func (n *Network) UDP(published, real string) error {
 	addr, err := net.ResolveUDPAddr("udp", published)
 	if err != nil {
--- a/standin/ledger/ledger.go
+++ b/standin/ledger/ledger.go
@@ -1,5 +1,6 @@
-// Package ledger notes which pieces of work backend servers really executed,
-// so that a run can be checked for doubled work and false refusals.
+// Package ledger records which pieces of work backend servers executed, so that a
+// test run can be checked for work that ran twice and for work that ran although its
+// caller was told that it did not.
 package ledger
 
 import (
@@ -14,7 +15,7 @@
 	At     time.Time
 }
 
-// Ledger holds executions. It is safe for concurrent use.
+// Ledger records executions. It is safe for concurrent use.
 type Ledger struct {
 	mu         sync.Mutex
 	executions []Execution
@@ -24,7 +25,7 @@
 // New returns an empty ledger.
 func New() *Ledger { return &Ledger{byWork: make(map[string]int)} }
 
-// Run notes an execution.
+// Run records an execution.
 func (l *Ledger) Run(work, server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,7 +40,7 @@
 	return l.byWork[work]
 }
 
-// Executions returns all executions so far, in order.
+// Executions returns all executions so far, in the order in which they were recorded.
 func (l *Ledger) Executions() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is a stand-in for an ordinary HTTP service: it answers with a
-// document about the work asked for, after a short time.
+// Package plain implements a stand-in for an ordinary HTTP service. It responds with a
+// document that names the requested work, after a short delay.
 package plain
 
 import (
@@ -18,20 +18,20 @@
 
 // Server is one backend server of the service.
 type Server struct {
-	http    *http.Server
-	ledger  *ledger.Ledger
-	delay   time.Duration
-	address string
-	limit   atomic.Uint64 // bits of the requests a second that it names, 0 = none
-	rest    atomic.Int64  // for which it asks each request that it turns away, 0 = it serves
-	leaving atomic.Bool   // it says that it leaves
-	reached atomic.Int64  // requests so far
+	http     *http.Server
+	ledger   *ledger.Ledger
+	delay    time.Duration
+	address  string
+	limit    atomic.Uint64 // announced rate limit in requests a second, as float bits; 0 = none
+	backoff  atomic.Int64  // backoff that it asks for when it refuses requests; 0 = it serves them
+	leaving  atomic.Bool   // it announces in responses that it leaves
+	requests atomic.Int64  // number of requests received
 }
 
-// HeaderWork names the caller's id of the work.
+// HeaderWork is the header with the caller's id of the work.
 const HeaderWork = "X-Work"
 
-// Serve listens on the address; every answer takes the delay.
+// Serve starts a server that listens on the address and delays each response.
 func Serve(address string, l *ledger.Ledger, delay time.Duration) (*Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -43,33 +43,35 @@
 	return s, nil
 }
 
-// Limit has the server name from now on how many requests a second it takes, 0 = none.
+// Limit sets the rate limit in requests a second that the server announces in its
+// responses; 0 = none.
 func (s *Server) Limit(perSecond float64) { s.limit.Store(math.Float64bits(perSecond)) }
 
-// Rest has the server turn requests away from now on and ask for so much rest, 0 = it serves.
-func (s *Server) Rest(d time.Duration) { s.rest.Store(int64(d)) }
+// Rest makes the server refuse all requests and ask for a backoff of the given time.
+// With 0 it serves requests again.
+func (s *Server) Rest(d time.Duration) { s.backoff.Store(int64(d)) }
 
-// Leave has the server say from now on that it leaves.
+// Leave makes the server announce in its responses that it leaves.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
-// Reached returns how many requests have reached the server.
-func (s *Server) Reached() int64 { return s.reached.Load() }
+// Reached returns the number of requests that the server has received.
+func (s *Server) Reached() int64 { return s.requests.Load() }
 
-// Address is where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.address }
 
-// Close stops serving and cuts all connections.
+// Close stops the server and closes all connections.
 func (s *Server) Close() { _ = s.http.Close() }
 
 func (s *Server) answer(w http.ResponseWriter, r *http.Request) {
 	work := r.Header.Get(HeaderWork)
 	_, _ = io.Copy(io.Discard, r.Body)
-	s.reached.Add(1)
+	s.requests.Add(1)
 	if s.leaving.Load() {
 		w.Header().Set(engine.HeaderLeaving, "1")
 	}
-	if rest := time.Duration(s.rest.Load()); rest > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
+	if backoff := time.Duration(s.backoff.Load()); backoff > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(backoff.Seconds(), 'f', -1, 64))
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/standin/report/report.go
+++ b/standin/report/report.go
@@ -1,11 +1,11 @@
-// Package report reads the structured logs of a fleet and tells, second by second,
-// how many requests were answered on time, late or not at all, beside the state of
-// the expert-parallel groups. It answers the question what an incident cost, and
-// whether passes, queues or faults were the reason.
+// Package report reads the structured logs of a fleet and counts, for each second,
+// how many requests were answered on time, late or not at all, together with the state
+// of the expert-parallel groups. It shows what an incident cost and whether passes,
+// queues or faults were the cause.
 //
-// Lines may come in any order and from any process, and may have a prefix before
-// their JSON object, as log collectors add; lines without one are skipped. Clocks of
-// VMs may differ: a second is that of the VM that wrote the line.
+// Lines may be in any order and from any process. The JSON object of a line may follow a
+// prefix, such as log collectors add; lines without a JSON object are skipped. Clocks of
+// VMs may differ: a line belongs to the second by the clock of the VM that wrote it.
 package report
 
 import (
@@ -19,25 +19,26 @@
 	"time"
 )
 
-// ErrNoLines means that a log has no line that the report is made of.
+// ErrNoLines is returned by Read if a log has no line that the report counts.
 var ErrNoLines = errors.New("report: no line of an answered or refused request")
 
-// maxLine bounds a log line, in bytes.
+// maxLine is the maximum size of a log line in bytes.
 const maxLine = 1 << 20
 
-// Second is what ended, or was seen, in one second.
+// Second counts the requests that ended in one second and holds the group states logged
+// in it.
 type Second struct {
-	At time.Time // its begin
+	At time.Time // start of the second
 
-	OnTime    int           // answers
-	LateFirst int           // answers whose first event, or body, came late
-	LateGap   int           // answers with a gap over the target
-	Refused   int           // requests refused, with proof that they did not run or without
+	OnTime    int           // responses
+	LateFirst int           // responses whose first event, or body, came late
+	LateGap   int           // responses with a gap between events over the target
+	Refused   int           // requests refused, whether or not they are known not to have run
 	Left      int           // requests whose caller left
-	Cut       int           // answers that ended early
-	Waited    time.Duration // of all these requests at gateways, summed
+	Cut       int           // responses that ended early
+	Waited    time.Duration // total time that these requests waited at gateways
 
-	Groups []Group // state of groups, by name
+	Groups []Group // states of groups, sorted by name
 }
 
 // Requests returns the number of requests that ended in the second.
@@ -45,23 +46,23 @@
 	return s.OnTime + s.LateFirst + s.LateGap + s.Refused + s.Left + s.Cut
 }
 
-// Group is the state of one group as its coordinator logged it.
+// Group is the state of a group as logged by its coordinator.
 type Group struct {
 	Name         string
 	StepLength   time.Duration // mean
-	Batch        float64       // requests of a rank, mean
-	Skew         float64       // most loaded rank over the mean
+	Batch        float64       // requests per rank, mean
+	Skew         float64       // load of the most loaded rank relative to the mean
 	SlowestRank  int
-	SlowestSpeed float64 // 1 = as usual
+	SlowestSpeed float64 // relative to the usual speed, which is 1
 }
 
-// Report is a log's seconds in order.
+// Report holds the seconds of a log in order.
 type Report struct {
-	Service string // of which it tells, "" = all
+	Service string // service whose requests are counted, "" = all
 	Seconds []Second
 }
 
-// line is what the report needs of a log line.
+// line holds the fields of a log line that the report needs.
 type line struct {
 	Message      string    `json:"message"`
 	Time         time.Time `json:"time"`
@@ -76,7 +77,7 @@
 	SlowestSpeed float64   `json:"slowest_speed"`
 }
 
-// Read reads a log. With a service, requests of others do not count.
+// Read reads a log. If service is not empty, requests of other services are not counted.
 func Read(in io.Reader, service string) (Report, error) {
 	seconds := make(map[int64]*Second)
 	scanner := bufio.NewScanner(in)
@@ -91,7 +92,7 @@
 		if s == nil {
 			s = &Second{At: at}
 		}
-		if s.take(l) {
+		if s.addLine(l) {
 			seconds[at.Unix()] = s
 		}
 	}
@@ -110,7 +111,8 @@
 	return out, nil
 }
 
-// parse returns the JSON object of a line, if there is one with a time.
+// parse parses the JSON object of a line. It returns false if there is none or it has no
+// time.
 func parse(raw []byte) (line, bool) {
 	at := bytes.IndexByte(raw, '{')
 	if at < 0 {
@@ -118,13 +120,14 @@
 	}
 	var l line
 	if err := json.Unmarshal(raw[at:], &l); err != nil || l.Time.IsZero() {
-		return line{}, false // not a line of the fleet
+		return line{}, false // not a log line of the fleet
 	}
 	return l, true
 }
 
-// take counts a line and reports whether it is one that the report is made of.
-func (s *Second) take(l line) bool {
+// addLine adds a line to the second. It reports whether the line is of a kind that the
+// report counts.
+func (s *Second) addLine(l line) bool {
 	switch l.Message {
 	case "request answered":
 		s.answered(l.Punctuality)
--- a/standin/report/report_test.go
+++ b/standin/report/report_test.go
@@ -22,7 +22,7 @@
 {"broken":
 `
 
-func TestALogIsCountedBySecond(t *testing.T) {
+func TestReadCountsBySecond(t *testing.T) {
 	is := is.New(t)
 	r, err := Read(strings.NewReader(log), "llm")
 	is.NoErr(err)
@@ -30,7 +30,7 @@
 	is.Equal(r.Seconds[0].Refused, 1)
 	is.Equal(r.Seconds[1].OnTime, 1)
 	is.Equal(r.Seconds[1].LateGap, 1)
-	is.Equal(r.Seconds[1].LateFirst, 0) // of another service
+	is.Equal(r.Seconds[1].LateFirst, 0) // belongs to another service
 	is.Equal(r.Seconds[1].Waited, 40*time.Millisecond)
 	is.Equal(r.Seconds[2].Left+r.Seconds[2].Cut, 2)
 	is.Equal(r.Seconds[2].Groups, []Group{{Name: "g", StepLength: 58400 * time.Microsecond, Batch: 6.5, Skew: 1.2, SlowestRank: 3, SlowestSpeed: 0.3}})
@@ -39,7 +39,7 @@
 	is.Equal(all.Seconds[1].LateFirst, 1)
 }
 
-func TestALogOfSomethingElseIsAnError(t *testing.T) {
+func TestReadFailsWithoutCountedLines(t *testing.T) {
 	is := is.New(t)
 	_, err := Read(strings.NewReader("nothing\n"), "")
 	is.True(errors.Is(err, ErrNoLines))
--- a/standin/report/table.go
+++ b/standin/report/table.go
@@ -9,7 +9,7 @@
 	"github.com/wcharczuk/go-chart/v2"
 )
 
-// Table writes a row for each second and group, and a last one with the sums.
+// Table writes a table with a row for each second and group and a last row with the totals.
 func (r Report) Table(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "second\ton time\tlate first\tlate gap\trefused\tleft\tcut\twaited ms\tgroup\tstep ms\tbatch\tskew\tslowest\tspeed\t")
@@ -51,12 +51,12 @@
 
 const (
 	plotWidth, plotHeight = 1200, 480 // pixels
-	// leastPoints is how many points a line of a plot needs.
-	leastPoints = 2
+	// minPoints is the minimum number of points of a line in a plot.
+	minPoints = 2
 )
 
-// Plot writes an SVG picture: requests a second by how they ended, and on the second
-// axis the length of a step of each group.
+// Plot writes an SVG plot of the requests a second by outcome and, on the secondary axis,
+// of the step length of each group.
 func (r Report) Plot(out io.Writer) error {
 	graph := chart.Chart{
 		Width: plotWidth, Height: plotHeight,
@@ -64,13 +64,13 @@
 		YAxis:          chart.YAxis{Name: "requests a second"},
 		YAxisSecondary: chart.YAxis{Name: "step, ms"},
 	}
-	graph.Series = append(r.endings(), r.steps()...)
+	graph.Series = append(r.outcomeSeries(), r.stepSeries()...)
 	graph.Elements = []chart.Renderable{chart.LegendThin(&graph)}
 	return graph.Render(chart.SVG, out)
 }
 
-// endings returns a line for each way in which requests ended.
-func (r Report) endings() []chart.Series {
+// outcomeSeries returns a line for each outcome of requests.
+func (r Report) outcomeSeries() []chart.Series {
 	kinds := []struct {
 		name  string
 		count func(Second) int
@@ -88,15 +88,15 @@
 			line.XValues = append(line.XValues, s.At)
 			line.YValues = append(line.YValues, float64(k.count(s)))
 		}
-		if len(line.XValues) >= leastPoints {
+		if len(line.XValues) >= minPoints {
 			out = append(out, line)
 		}
 	}
 	return out
 }
 
-// steps returns a line for the steps of each group.
-func (r Report) steps() []chart.Series {
+// stepSeries returns a line with the step lengths of each group.
+func (r Report) stepSeries() []chart.Series {
 	lines := make(map[string]*chart.TimeSeries)
 	var names []string
 	for _, s := range r.Seconds {
@@ -113,7 +113,7 @@
 	}
 	var out []chart.Series
 	for _, name := range names {
-		if len(lines[name].XValues) >= leastPoints {
+		if len(lines[name].XValues) >= minPoints {
 			out = append(out, *lines[name])
 		}
 	}
