--- a/standin/outage/model.go
+++ b/standin/outage/model.go
@@ -18,7 +18,7 @@
 	Begin    time.Duration // start of the outage
 	Stand    time.Duration // duration of the outage, in which the group makes no passes
 	Objective,
-	GapTarget time.Duration
+	GapTarget time.Duration // latest first event and longest gap between events on time
 	// Callers leave after WaitLimit without an event, or when their deadline has passed,
 	// which is 0.85 to 1 times Limit after their first try.
 	WaitLimit, Limit time.Duration
@@ -40,8 +40,8 @@
 	// poll is the interval at which waiting requests try to get a slot.
 	poll = 15 * time.Millisecond
 	// passBase is the length of a pass without streams, passPerStream what each stream of
-	// the mean batch adds to it. unevenFactor is by how much passes are longer on the initial
-	// map, unevenTime how long that map is in use. The values come from runs of 63 ranks.
+	// the mean batch adds to it. unevenFactor is the factor by which passes are longer on the
+	// initial map, unevenTime how long that map is in use. The values come from runs of 63 ranks.
 	passBase      = 41 * time.Millisecond
 	passPerStream = 4100 * time.Microsecond
 	unevenFactor  = 1.7
--- a/standin/soak/cmd/soak/faults.go
+++ b/standin/soak/cmd/soak/faults.go
@@ -21,8 +21,8 @@
 	pending sync.WaitGroup
 
 	mu          sync.Mutex
-	injected    map[string]int
-	lethal      []standin.Attempt
+	injected    map[string]int         // number of injected faults by kind
+	lethal      []standin.Attempt      // attempts of lethal requests
 	disruptions []span                 // while a fault that callers may notice was in force
 	stopping    map[string][]time.Time // when gateways were told to stop, by front address
 	paused      map[string][]span      // while gateways were paused, by front address
--- a/standin/soak/cmd/soak/main.go
+++ b/standin/soak/cmd/soak/main.go
@@ -29,10 +29,10 @@
 	seed    uint64
 	seeds   int
 	length  time.Duration
-	kinds   int
-	focus   string
+	kinds   int    // number of fault kinds to use, 0 = all
+	focus   string // comma-separated words in the names of the kinds in focus
 	size    size
-	keep    string
+	keep    string // folder for the logs of failed seeds, "" = temporary
 	verbose bool
 }
 
--- a/standin/soak/cmd/soak/process.go
+++ b/standin/soak/cmd/soak/process.go
@@ -104,7 +104,7 @@
 	p.child.Kill()
 }
 
-// unexpectedExits describes the exits of the process that no signal caused.
+// unexpectedExits describes the exits of the process that followed no signal to end it.
 func (p *process) unexpectedExits() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
