--- a/agent/engine/notice_test.go
+++ b/agent/engine/notice_test.go
@@ -30,8 +30,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			said, err := ReadNotice(&http.Response{StatusCode: c.status, Header: c.header}, time.Now())
-			is.Equal(said, c.want)
+			got, err := ReadNotice(&http.Response{StatusCode: c.status, Header: c.header}, time.Now())
+			is.Equal(got, c.want)
 			is.Equal(err != nil, c.fails)
 		})
 	}
