--- a/agent/group/group.go
+++ b/agent/group/group.go
@@ -40,13 +40,13 @@
 	// OrderLifetime is the longest time that an order to an engine may be in flight; a
 	// restarted agent waits that long before it makes promises. Default 2.5s.
 	OrderLifetime time.Duration
-	// SkipRecoveryWait lets a restarted agent skip that wait. It is set where an order that takes
-	// effect late does no harm.
+	// SkipRecoveryWait lets a restarted agent skip that wait. It is set where an order
+	// that takes effect late does no harm.
 	SkipRecoveryWait bool
-	// ElectionTimeout is how long rank 0 waits for a coordinator that it has had contact with,
-	// First how long for one that it has never had contact with. Each further rank waits
-	// Stagger longer, and each rank after the first successors LateStagger longer.
-	// Defaults 1.5s, Election, 300ms and Stagger.
+	// ElectionTimeout is how long rank 0 waits for a coordinator that it has had contact
+	// with, FirstElectionTimeout how long for one that it has never had contact with. Each
+	// further rank waits Stagger longer, and each rank after the successors
+	// NonSuccessorStagger longer. Defaults 1.5s, ElectionTimeout, 300ms and Stagger.
 	ElectionTimeout, FirstElectionTimeout, Stagger, NonSuccessorStagger time.Duration
 	// Tick is the interval at which a coordinator processes timeouts. Default 50ms.
 	Tick time.Duration
@@ -72,17 +72,17 @@
 
 // Defaults of Timing.
 const (
-	defaultOrderLifetime = 2500 * time.Millisecond
-	defaultElection      = 1500 * time.Millisecond
-	defaultStagger       = 300 * time.Millisecond
-	defaultTick          = 50 * time.Millisecond
-	defaultPoll          = 500 * time.Millisecond
-	defaultCountsWeight  = 0.4
+	defaultOrderLifetime   = 2500 * time.Millisecond
+	defaultElectionTimeout = 1500 * time.Millisecond
+	defaultStagger         = 300 * time.Millisecond
+	defaultTick            = 50 * time.Millisecond
+	defaultPoll            = 500 * time.Millisecond
+	defaultCountsWeight    = 0.4
 )
 
 func (t *Timing) provision() {
 	t.OrderLifetime = settings.Or(t.OrderLifetime, defaultOrderLifetime)
-	t.ElectionTimeout = settings.Or(t.ElectionTimeout, defaultElection)
+	t.ElectionTimeout = settings.Or(t.ElectionTimeout, defaultElectionTimeout)
 	t.FirstElectionTimeout = settings.Or(t.FirstElectionTimeout, t.ElectionTimeout)
 	t.Stagger = settings.Or(t.Stagger, defaultStagger)
 	t.NonSuccessorStagger = settings.Or(t.NonSuccessorStagger, t.Stagger)
@@ -91,9 +91,9 @@
 	t.CountsWeight = settings.Or(t.CountsWeight, defaultCountsWeight)
 }
 
-// successorTicks and otherTicks are how many ticks the first successors of a coordinator,
-// and the other ranks, wait between two checks whether they have to coordinate. Each
-// check wakes the process up.
+// successorTicks and otherTicks are how many ticks the successors of a coordinator, and
+// the other ranks, wait between two checks whether they have to coordinate. Each check
+// wakes the process up.
 const successorTicks, otherTicks = 2, 8
 
 // callTimeout bounds one order to one rank.
@@ -125,8 +125,8 @@
 	// InitialMap returns the map that engines of a shape begin with. It is nil if that
 	// map is not known; the coordinator then requests it from the ranks.
 	InitialMap func(expertmap.Shape) expertmap.Map
-	// RequestHold requests other VMs, which have no rank, to order the rank of a VM to hold a
-	// step in an epoch. It is nil if there are no such VMs.
+	// RequestHold requests other VMs, which have no rank, to order the rank of a VM to
+	// hold a step in an epoch. It is nil if there are no such VMs.
 	RequestHold func(rank vm.VM, epoch, step uint64)
 }
 
@@ -138,12 +138,12 @@
 	targets targetCache
 	calls   conc.WaitGroup // to other agents
 
-	observedFences map[string]uint64 // highest fencing numbers that this agent's coordinators saw, by group
+	observedFences map[string]uint64 // highest fencing numbers seen by this agent's coordinators
 	demands        map[string]demand // of the groups that this rank coordinated
 
 	mu             sync.Mutex
 	contacted      map[string]contact // with the coordinator, by group
-	receivedFences map[string]uint64  // largest fencing numbers received, by group
+	receivedFences map[string]uint64  // highest fencing numbers received, by group
 }
 
 // contact records when the group's coordinator was last heard from, or, if it never was,
@@ -192,7 +192,7 @@
 }
 
 // electionCheckInterval returns how often a rank that does not coordinate checks whether
-// it has to. The interval is longer for ranks behind the first successors.
+// it has to. The interval is longer for ranks that are no successors.
 func (s *Set) electionCheckInterval() time.Duration {
 	for _, g := range s.env.Directory.Groups() {
 		if s.rankIn(g) < Successors {
@@ -252,8 +252,8 @@
 	return time.Duration(rank-late)*s.env.Timing.Stagger + time.Duration(late)*s.env.Timing.NonSuccessorStagger
 }
 
-// LastContact returns when the coordinator of a group was last heard from, or the zero time if
-// it never was.
+// LastContact returns when the coordinator of a group was last heard from, or the zero
+// time if it never was.
 func (s *Set) LastContact(group string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/agent/group/group_test.go
+++ b/agent/group/group_test.go
@@ -32,9 +32,9 @@
 	engines *ranks
 	// unknown holds the ranks that received changes to a map that they did not have.
 	unknown sync.Map
-	// askHold handles the agents' requests to other VMs to hold a step; nil = there are
+	// requestHold handles the agents' requests to other VMs to hold a step; nil = there are
 	// no such VMs.
-	askHold func(rank int, step uint64)
+	requestHold func(rank int, step uint64)
 }
 
 // agent is the agent of one rank.
@@ -142,8 +142,8 @@
 		VM: id, Incarnation: 1, Engine: a.engines.all[r], Pool: out.pool, Directory: a,
 		Recorder: timeline.NewRecorder(id, 100, zerolog.Nop()), Log: zerolog.New(io.Discard).Hook(out), Timing: timing,
 	}
-	if a.askHold != nil {
-		env.RequestHold = func(rank vm.VM, _, step uint64) { a.askHold(slices.Index(a.group.Ranks, rank.ID), step) }
+	if a.requestHold != nil {
+		env.RequestHold = func(rank vm.VM, _, step uint64) { a.requestHold(slices.Index(a.group.Ranks, rank.ID), step) }
 	}
 	out.set = NewSet(env)
 	go func() { _ = link.Accept(ln, local, nil, out) }()
@@ -232,7 +232,7 @@
 	is := is.New(t)
 	world := &agents{engines: newRanks(smallGroup)}
 	var held atomic.Int64 // holds requested of the coordinator's own rank
-	world.askHold = func(rank int, step uint64) {
+	world.requestHold = func(rank int, step uint64) {
 		if rank == 0 {
 			held.Add(1)
 		}
@@ -249,7 +249,7 @@
 func TestAgentHoldsItsRankIfNoOtherVMDoes(t *testing.T) {
 	is := is.New(t)
 	world := &agents{engines: newRanks(smallGroup)}
-	world.askHold = func(int, uint64) {}
+	world.requestHold = func(int, uint64) {}
 	newAgentsWith(t, smallGroup, testTiming, world)
 	await(t, "first map in use", 20*time.Second, func() bool { least, _ := world.engines.versions(); return least > 0 })
 	is.True(world.engines.agentHoldCount() > 0)
--- a/agent/group/lead.go
+++ b/agent/group/lead.go
@@ -251,5 +251,5 @@
 	ctx, cancel := context.WithTimeout(ctx, observeTimeout)
 	defer cancel()
 	state, err := l.set.env.Engine.Observe(ctx, false)
-	return err == nil && state.Step != l.step // without an answer, the engine is queried again at the next tick
+	return err == nil && state.Step != l.step // after an error, the next tick queries it again
 }
--- a/agent/group/orders.go
+++ b/agent/group/orders.go
@@ -119,9 +119,8 @@
 const externalHoldWait = 15 * time.Millisecond
 
 // requestHold requests other VMs, if there are any, to send an order to hold a step, and
-// reports whether it did. A freeze of a VM most likely stops the group just after the VM
-// sent that order, if the VM has a rank: in one case for 4 s, as long as the VM was
-// frozen.
+// reports whether it did. A VM that freezes does most harm just after it sent that order:
+// if the VM has a rank, the group is stopped until the VM resumes, in one case for 4 s.
 func (l *leadership) requestHold(o mapswitch.Outgoing) bool {
 	if o.Order.Phase != mapswitch.PhaseHold || o.Resent || l.set.env.RequestHold == nil {
 		return false
