--- a/agent/mapswitch/coordinator.go
+++ b/agent/mapswitch/coordinator.go
@@ -59,25 +59,25 @@
 	Prepare time.Duration
 	// Resend is the time after which an unanswered order is sent again. Default 200ms.
 	Resend time.Duration
-	// LeadSteps is the minimum number of steps between the most advanced rank and the step of
-	// the switch. It grows to the number of steps that the latest switch would have
-	// needed to keep the group from waiting. Default 40.
+	// LeadSteps is the minimum number of steps between the most advanced rank and the step
+	// of the switch. The actual number grows to what the latest switch would have needed
+	// to keep the group from waiting. Default 40.
 	LeadSteps uint64
-	// MaxLeadSteps is the upper bound of that number. Default twice the minimum.
+	// MaxLeadSteps is the upper bound of the actual number. Default twice LeadSteps.
 	MaxLeadSteps uint64
 }
 
 // Defaults of Timing.
 const (
-	DefaultPrepare = 30 * time.Second
-	DefaultResend  = 200 * time.Millisecond
-	DefaultLead    = 40
+	DefaultPrepare   = 30 * time.Second
+	DefaultResend    = 200 * time.Millisecond
+	DefaultLeadSteps = 40
 )
 
 func (t *Timing) provision() {
 	t.Prepare = settings.Or(t.Prepare, DefaultPrepare)
 	t.Resend = settings.Or(t.Resend, DefaultResend)
-	t.LeadSteps = settings.Or(t.LeadSteps, DefaultLead)
+	t.LeadSteps = settings.Or(t.LeadSteps, DefaultLeadSteps)
 	t.MaxLeadSteps = settings.Or(t.MaxLeadSteps, 2*t.LeadSteps)
 }
 
@@ -375,9 +375,9 @@
 // reads all ranks again to finish what it finds.
 func (c *Coordinator) Observe(step uint64, held bool, now time.Time) {
 	c.leadEstimator.observe(step, now)
-	resting := c.stage == StageIdle || c.stage == StagePreparing
+	noHoldExpected := c.stage == StageIdle || c.stage == StagePreparing
 	switch {
-	case !held || !resting:
+	case !held || !noHoldExpected:
 		c.held = time.Time{}
 	case c.held.IsZero():
 		c.held = now
--- a/agent/mapswitch/member.go
+++ b/agent/mapswitch/member.go
@@ -40,7 +40,7 @@
 // Reply is a rank's answer to an Order.
 type Reply struct {
 	OK          bool
-	Superseded  bool // the order's fence or incarnation is out of date
+	Superseded  bool // the order's fence, incarnation or epoch is out of date
 	BaseUnknown bool // the order's map is based on one that the rank's agent does not have
 	Reason      string
 	Fence       uint64 // the promised fencing number
