--- a/agent/rank/engine.go
+++ b/agent/rank/engine.go
@@ -230,7 +230,7 @@
 }
 
 // Loaded waits until the rank has loaded a version that it has begun to load. It returns
-// ErrLoading after loadTimeout, or as soon as another version is loaded instead.
+// ErrLoading after loadTimeout, or as soon as another version is being loaded instead.
 func (e *Engine) Loaded(ctx context.Context, version uint64) (engine.ExpertState, error) {
 	for until := clock.Now().Add(loadTimeout); clock.Now().Before(until); {
 		state, err := e.report(ctx)
@@ -251,8 +251,9 @@
 	return engine.ExpertState{}, ErrLoading
 }
 
-// send sends an order repeatedly until it is answered, its effect shows or it is void. After
-// maxTries, or if the context ends, the order becomes pending and send returns ErrUnsettled.
+// send sends an order repeatedly until it is answered, its effect shows or it is void.
+// After maxTries, or if the context ends, the order becomes pending and send returns
+// ErrUnsettled.
 func (e *Engine) send(ctx context.Context, o Order) error {
 	report, err := e.api.Report(ctx)
 	if err != nil {
