--- a/agent/rankserver/hold.go
+++ b/agent/rankserver/hold.go
@@ -8,12 +8,12 @@
 	"baywall.example/core/vm"
 )
 
-// maxHoldGateways is how many gateways are asked to send one order to hold a step. It is more
-// than one because a gateway may be down.
+// maxHoldGateways is how many gateways are asked to send one order to hold a step. It is
+// more than one because a gateway may be down.
 const maxHoldGateways = 2
 
-// requestHold asks gateways to make the rank on a VM hold a step. It assumes the local engine's
-// port, because the engines of a service listen on the same port on all VMs.
+// requestHold asks gateways to order the rank on a VM to hold a step. It assumes the local
+// engine's port, because the engines of a service listen on the same port on all VMs.
 func (r *Server) requestHold(target vm.VM, epoch, step uint64) {
 	host, _, err := net.SplitHostPort(target.Link)
 	if err != nil {
--- a/agent/rankserver/label.go
+++ b/agent/rankserver/label.go
@@ -15,7 +15,7 @@
 func (r *Server) followLabel(ctx context.Context) {
 	for ctx.Err() == nil {
 		interval := labelInterval
-		if r.world.getLabel() == nil {
+		if r.directory.getLabel() == nil {
 			interval = formingInterval
 		}
 		if left := interval - r.api.age(clock.Now()); left > 0 {
@@ -38,7 +38,7 @@
 // applyReport applies a report of the local rank, or the error in its place: the group and
 // the slowdown of the rank.
 func (r *Server) applyReport(report rank.Report, err error) {
-	before := r.world.getLabel()
+	before := r.directory.getLabel()
 	if err == nil && report.Group != "" {
 		// The rank number is known while the group is still forming. Successors read the
 		// configuration from then on; reading it only once the group was open took up to
@@ -52,7 +52,7 @@
 			r.log.Warn().Err(err).Str("group", before.Group).Uint64("epoch", before.Epoch).Bool("open", report.Open).Msg("rank lost")
 		}
 		r.ungrouped = true
-		r.world.setLabel(nil)
+		r.directory.setLabel(nil)
 		if before != nil {
 			r.node.Announce()
 		}
@@ -67,7 +67,7 @@
 		r.ungrouped = false
 		r.log.Info().Str("group", label.Group).Uint64("epoch", label.Epoch).Int("rank", label.Rank).Int("size", label.Size).Msg("rank regained")
 	}
-	r.world.setLabel(label)
+	r.directory.setLabel(label)
 	if before == nil || *before != *label {
 		r.node.Announce()
 	}
@@ -109,6 +109,6 @@
 // isStandby reports whether this rank leaves reading the store to the successors: it is not
 // one of them, and its group has a coordinator.
 func (r *Server) isStandby() bool {
-	label := r.world.getLabel()
+	label := r.directory.getLabel()
 	return label != nil && !r.isSuccessor() && clock.Since(r.groups.LastContact(label.Group)) < coordinatorWaitLimit
 }
--- a/agent/rankserver/list.go
+++ b/agent/rankserver/list.go
@@ -33,7 +33,7 @@
 			period = startInterval
 		case r.isStandby():
 			period = standbyInterval
-		case len(r.world.Groups()) > 0:
+		case len(r.directory.Groups()) > 0:
 			period = completeInterval
 		}
 		if !wait.Sleep(ctx, period) {
@@ -48,7 +48,7 @@
 // would read it repeatedly. A successor does not wait, because it has to find the other ranks.
 func (r *Server) awaitGroup(ctx context.Context) (formed bool) {
 	began := clock.Now()
-	for !r.isSuccessor() && r.world.getLabel() == nil && clock.Since(began) < startWaitLimit {
+	for !r.isSuccessor() && r.directory.getLabel() == nil && clock.Since(began) < startWaitLimit {
 		if !wait.Sleep(ctx, formingInterval) {
 			return false
 		}
@@ -102,7 +102,7 @@
 	for ctx.Err() == nil {
 		e, err := r.fetchEngine(ctx)
 		if err == nil {
-			r.world.setEngine(e)
+			r.directory.setEngine(e)
 			r.log.Info().Int("layers", e.Layers).Int("experts", e.Experts).Int("slots", e.SlotsPerRank).Msg("engine configuration read")
 			return
 		}
--- a/agent/rankserver/server.go
+++ b/agent/rankserver/server.go
@@ -109,7 +109,7 @@
 	api            *observedRank
 	store          source.Store
 	node           *cluster.Node
-	world          *world
+	directory      *directory
 	recorder       *timeline.Recorder
 	local          *link.Local
 	pool           *link.Pool
@@ -142,7 +142,7 @@
 		return nil, eris.Wrapf(ErrStart, "%v", err)
 	}
 	r.node = node
-	r.world = &world{settings: s, live: node.Live, self: vm.VM{ID: id, Link: s.Listen.Peers}}
+	r.directory = &directory{settings: s, live: node.Live, self: vm.VM{ID: id, Link: s.Listen.Peers}}
 	host, _, _ := net.SplitHostPort(s.Listen.Peers) // validated
 	r.local = &link.Local{
 		VM: id, Incarnation: r.incarnation, Role: vm.RoleBackend, Zone: zone.ID(s.Zone), BindIP: host,
@@ -152,8 +152,8 @@
 	timing := groupTiming
 	timing.Link = s.Machine.LinkMbps * bytesPerMbit
 	r.groups = group.NewSet(group.Environment{
-		VM: id, Incarnation: r.incarnation, Engine: rank.NewEngine(r.api, r.world.shape, log),
-		Pool: r.pool, Directory: r.world, Recorder: r.recorder, Log: log, Timing: timing, InitialMap: a.InitialMap,
+		VM: id, Incarnation: r.incarnation, Engine: rank.NewEngine(r.api, r.directory.shape, log),
+		Pool: r.pool, Directory: r.directory, Recorder: r.recorder, Log: log, Timing: timing, InitialMap: a.InitialMap,
 		RequestHold: r.requestHold,
 	})
 	r.set.NewGauge("baywall_peers", func() float64 { return float64(len(node.Live())) })
@@ -165,7 +165,7 @@
 func (r *Server) self() cluster.Self {
 	return cluster.Self{
 		VM: vm.ID(r.settings.VM), Incarnation: r.incarnation, Zone: r.settings.Zone,
-		Address: r.settings.Listen.Peers, Ready: true, Rank: r.world.getLabel(),
+		Address: r.settings.Listen.Peers, Ready: true, Rank: r.directory.getLabel(),
 		Activity: cluster.Activity{Active: r.isSuccessor()},
 	}
 }
@@ -235,7 +235,7 @@
 func (r *Server) Reload(path string, raw []byte) {
 	var next Settings
 	if err := settings.Parse(path, raw, &next); err != nil {
-		r.log.Error().Err(err).Msg("settings refused, the old ones stay in force")
+		r.log.Error().Err(err).Msg("invalid settings file; the previous settings stay in force")
 		return
 	}
 	r.log.Info().Bool("restart_needed", !reflect.DeepEqual(next, r.settings)).Msg("settings reloaded")
--- a/agent/rankserver/settings.go
+++ b/agent/rankserver/settings.go
@@ -22,8 +22,8 @@
 	// Store is the IP:port of the store with the configuration and the list of
 	// backend servers. Required.
 	Store string `yaml:"store"`
-	// Gateways are the IP:port at which gateways take heartbeats. Slowdowns of the
-	// rank are reported to them. Default none.
+	// Gateways are the addresses, IP:port each, at which gateways take heartbeats.
+	// Slowdowns of the rank are reported to them. Default none.
 	Gateways []string `yaml:"gateways"`
 	// Machine limits what the agent uses of this VM.
 	Machine MachineSettings `yaml:"machine"`
