--- a/agent/record/table.go
+++ b/agent/record/table.go
@@ -159,7 +159,7 @@
 		return refuse(contract.NotRun, contract.ReasonTicketExpired)
 	}
 	if t.tickets.Load() >= int64(t.limits.Tickets) {
-		return refuse(contract.Unknown, contract.ReasonOverload) // the ticket is not remembered, so it may run later
+		return refuse(contract.Unknown, contract.ReasonOverload) // not remembered, so it may run later
 	}
 	v := t.accept(id, true, now)
 	t.tickets.Add(1)
--- a/agent/record/table_test.go
+++ b/agent/record/table_test.go
@@ -103,7 +103,7 @@
 	}{
 		{"fresh", ticket("n", self, start), later(time.Second), ActionRun, ""},
 		{"expired, never presented", ticket("n", self, start), later(40 * time.Second), ActionRefuse, contract.NotRun},
-		{"expired, memory gone", ticket("n", self, start), later(2 * time.Minute), ActionRefuse, contract.Unknown},
+		{"expired, nonce forgotten", ticket("n", self, start), later(2 * time.Minute), ActionRefuse, contract.Unknown},
 		{"earlier incarnation", ticket("n", self-1, start.Add(-time.Second)), later(time.Second), ActionRefuse, contract.Unknown},
 		{"earlier incarnation, issued within the clock skew", ticket("n", self-1, start.Add(400*time.Millisecond)), later(time.Second), ActionRefuse, contract.Unknown},
 		{"earlier incarnation, issued after this one started", ticket("n", self-1, start.Add(time.Second)), later(2 * time.Second), ActionRefuse, contract.NotRun},
