--- a/agent/server/server.go
+++ b/agent/server/server.go
@@ -143,7 +143,7 @@
 	return a
 }
 
-// publishedConfig implements group.World from the configuration that operators publish.
+// publishedConfig implements group.Directory from the configuration that operators publish.
 type publishedConfig struct {
 	config *configuration.Store
 	vms    *configuration.VMs
--- a/agent/server/server_test.go
+++ b/agent/server/server_test.go
@@ -26,7 +26,7 @@
 		{"valid", valid, nil},
 		{"no VM", strings.Replace(valid, "vm: a", "vm: ''", 1), []string{"a.yaml:1", "vm"}},
 		{"same address twice", strings.Replace(valid, "9000", "7000", 1), []string{"a.yaml:4", "engine.address", "link.listen"}},
-		{"unknown kind", valid + "log_level: loud\n", []string{"a.yaml:5", "log_level", "loud", "info"}},
+		{"unknown log level", valid + "log_level: loud\n", []string{"a.yaml:5", "log_level", "loud", "info"}},
 		{"linger too long", valid + "drain: {linger: 2h}\n", []string{"a.yaml:5", "drain.linger", "2h", "1h"}},
 	}
 	for _, c := range cases {
