--- a/core/cluster/activity_test.go
+++ b/core/cluster/activity_test.go
@@ -93,7 +93,7 @@
 
 // A member's own recent heartbeat from a peer outweighs a loss that another member
 // reports.
-func TestReportedLossOfRecentlyHeardPeerIsIgnored(t *testing.T) {
+func TestReportedLossOfRecentlySeenPeerIsIgnored(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(6, 0)
 	f.tables["10.0.0.0:1"].receiveLost("10.0.0.2:1", []string{"10.0.0.1:1"}, f.now)
--- a/core/cluster/attend.go
+++ b/core/cluster/attend.go
@@ -46,7 +46,7 @@
 	stale            bool                  // whether members have changed since the last assignment
 	assignedAt       time.Time             // time of the last assignment
 	unreportedLosses bool                  // whether active members were lost and not reported yet
-	reportLossesAt   time.Time             // losses are due to be reported to peers that were sent no heartbeat since
+	reportLossesAt   time.Time             // peers sent no heartbeat since then are due a loss report
 	reports          map[string]lossReport // losses reported by one member, by address
 }
 
@@ -56,8 +56,8 @@
 	at       time.Time
 }
 
-// EnableMonitoring makes the member monitor others and be monitored itself. It must be called before
-// all other methods.
+// EnableMonitoring makes the member monitor others and be monitored itself. It must be
+// called before all other methods.
 func (t *Table) EnableMonitoring() {
 	t.monitoring = monitoring{enabled: true, reports: make(map[string]lossReport)}
 }
@@ -108,9 +108,9 @@
 	if monitor.address == member.address {
 		return false
 	}
-	most := standbyMonitors
+	monitors := standbyMonitors
 	if isActive {
-		most = activeMonitors
+		monitors = activeMonitors
 	}
 	inZone, ahead := 0, 0
 	weight := rendezvous.Weight(monitor.hash, member.hash)
@@ -125,11 +125,11 @@
 			ahead++
 		}
 	}
-	ofZone := min(inZone, int(ownZoneShare*float64(most)+0.5))
+	ofZone := min(inZone, int(ownZoneShare*float64(monitors)+0.5))
 	if monitor.zone == member.zone {
 		return ahead < ofZone
 	}
-	return ahead < most-ofZone
+	return ahead < monitors-ofZone
 }
 
 // isMonitorPair reports whether a peer monitors this member or is monitored by it.
--- a/core/cluster/doc.go
+++ b/core/cluster/doc.go
@@ -11,7 +11,7 @@
 //
 // The interval between heartbeats grows with the number of peers, which bounds the
 // datagrams that a gateway sends. Failure detection must not slow down with it, so
-// gateways monitor each other (see Table.Attend): a few active gateways exchange
+// gateways monitor each other (see Table.EnableMonitoring): a few active gateways exchange
 // heartbeats with each member at an interval that does not depend on the size of the
 // fleet, detect its loss and report it to the others at once. Agents of ranks do not need
 // monitors: only a few members of a group may coordinate it, and these exchange heartbeats
--- a/core/cluster/heartbeat.go
+++ b/core/cluster/heartbeat.go
@@ -28,7 +28,8 @@
 		hb.Limits = self.Limits(now)
 	}
 	if answered := t.lastStoreAnswer(self.LastStoreAnswer); !answered.IsZero() {
-		hb.StoreAgeMs = 1 + uint32(math.Ceil(now.Sub(answered).Seconds()*1000)) // rounded up: a relayed age must never be too low
+		// Rounded up: a relayed age must never be too low.
+		hb.StoreAgeMs = 1 + uint32(math.Ceil(now.Sub(answered).Seconds()*1000))
 	}
 	for server, l := range self.Load {
 		if l.Requests > 0 {
--- a/core/cluster/node.go
+++ b/core/cluster/node.go
@@ -40,10 +40,10 @@
 	// onHold is called with requests to pass an order to a rank. If it is nil, they are
 	// ignored.
 	onHold func(Hold)
-	// onSuspects is called with the suspects that a member reports. onMet is called with
-	// each member that joined or was regained. If nil, these events are ignored.
+	// onSuspects is called with the suspects that a member reports. onPeerUp is called
+	// with each member that joined or was regained. If nil, these events are ignored.
 	onSuspects func(from vm.ID, suspects []*wire.Suspect)
-	onMet      func(Peer)
+	onPeerUp   func(Peer)
 	// onLimits is called with the limits of backend servers that a member reports. If it
 	// is nil, they are ignored.
 	onLimits func(from vm.ID, limits []*wire.ServerLimit)
@@ -107,15 +107,15 @@
 
 func (n *Node) send(out []Datagram) {
 	var encoded []byte
-	var of *wire.Heartbeat
+	var encodedFrom *wire.Heartbeat
 	for _, d := range out {
-		if d.Heartbeat != of {
+		if d.Heartbeat != encodedFrom {
 			raw, err := proto.Marshal(d.Heartbeat)
 			if err != nil {
 				n.log.Error().Err(err).Msg("cannot encode heartbeat")
 				return
 			}
-			encoded, of = raw, d.Heartbeat
+			encoded, encodedFrom = raw, d.Heartbeat
 		}
 		to, err := net.ResolveUDPAddr("udp4", d.Address)
 		if err != nil {
@@ -164,8 +164,8 @@
 		event := n.log.Info().Str("peer", string(c.Peer.VM)).Uint64("incarnation", uint64(c.Peer.Incarnation))
 		if c.Alive {
 			event.Bool("new", c.Joined).Msg("peer regained")
-			if n.onMet != nil {
-				n.onMet(c.Peer)
+			if n.onPeerUp != nil {
+				n.onPeerUp(c.Peer)
 			}
 			continue
 		}
@@ -173,8 +173,8 @@
 	}
 }
 
-// EnableMonitoring makes the node monitor others and be monitored itself. It must be called before
-// Run.
+// EnableMonitoring makes the node monitor others and be monitored itself. It must be
+// called before Run.
 func (n *Node) EnableMonitoring() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -189,9 +189,9 @@
 // member reports. It must be called before Run.
 func (n *Node) OnLimits(f func(from vm.ID, limits []*wire.ServerLimit)) { n.onLimits = f }
 
-// OnPeerUp sets the function that is called with each member that joined or was regained. The
-// function must not block. OnMet must be called before Run.
-func (n *Node) OnPeerUp(f func(Peer)) { n.onMet = f }
+// OnPeerUp sets the function that is called with each member that joined or was regained.
+// The function must not block. OnPeerUp must be called before Run.
+func (n *Node) OnPeerUp(f func(Peer)) { n.onPeerUp = f }
 
 // SetSeeds replaces the seeds.
 func (n *Node) SetSeeds(seeds []string) {
--- a/core/cluster/pace.go
+++ b/core/cluster/pace.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// ReportSlowdown reports a rank's slowdown to members. The sender does not become a member by
-// it.
+// ReportSlowdown reports a rank's slowdown to members. The sender does not become a member
+// by it.
 func (n *Node) ReportSlowdown(members []string, p Slowdown) {
 	hb := &wire.Heartbeat{Paces: []*wire.RankPace{{
 		Engine: EngineKey(p.Engine), Percent: uint32(100 * p.Slowdown), FormedMs: formedMs(p.Formed, clock.Now()),
--- a/core/cluster/scale_test.go
+++ b/core/cluster/scale_test.go
@@ -85,17 +85,17 @@
 	return false
 }
 
-// lose cuts members off. It returns the time, at most the given one, until no running
-// member lists an active one of them.
-func (f *fleet) lose(lost map[string]bool, most time.Duration) time.Duration {
+// lose cuts members off. It returns the time until no running member lists an active one
+// of them, or the timeout if that is not reached.
+func (f *fleet) lose(lost map[string]bool, timeout time.Duration) time.Duration {
 	for a := range lost {
 		f.cut[a] = true
 	}
-	began := f.now
-	for f.listed(lost) && f.now.Sub(began) < most {
+	start := f.now
+	for f.listed(lost) && f.now.Sub(start) < timeout {
 		f.runNodes(tick)
 	}
-	return f.now.Sub(began)
+	return f.now.Sub(start)
 }
 
 // Callers ask any member where to connect, so no member may list a lost active member for
@@ -147,7 +147,8 @@
 		for a, other := range f.tables {
 			if a != unreachable {
 				live := other.Live()
-				live = slices.DeleteFunc(live, func(p Peer) bool { return p.Address == unreachable }) // it now sends rarely
+				// The unreachable member now sends rarely.
+				live = slices.DeleteFunc(live, func(p Peer) bool { return p.Address == unreachable })
 				is.Equal(len(live), 118)
 			}
 		}
--- a/core/cluster/table.go
+++ b/core/cluster/table.go
@@ -110,27 +110,33 @@
 
 // Peer is the latest state received from another member.
 type Peer struct {
-	VM              vm.ID
-	Incarnation     vm.Incarnation
-	Zone            string
-	Address         string
-	Front           string
-	Ready           bool
-	CatalogVersion  uint64
-	StoreChanged    source.Position // latest change of the store known to the peer
-	LastStoreAnswer time.Time       // when the store last answered the peer or a member that it receives heartbeats from; zero = unknown
-	StoreFailing    bool            // whether the store does not answer the peer
-	Retained        uint64          // digest of the state that it has in a newer version than the store, 0 = none
-	Rank            *RankLabel
-	LastHeartbeat   time.Time
+	VM             vm.ID
+	Incarnation    vm.Incarnation
+	Zone           string
+	Address        string
+	Front          string
+	Ready          bool
+	CatalogVersion uint64
+	StoreChanged   source.Position // latest change of the store known to the peer
+	// LastStoreAnswer is when the store last answered the peer or a member that it
+	// receives heartbeats from; zero = unknown.
+	LastStoreAnswer time.Time
+	StoreFailing    bool // whether the store does not answer the peer
+	// Retained is the digest of the state that the peer has in a newer version than the
+	// store, 0 = none.
+	Retained      uint64
+	Rank          *RankLabel
+	LastHeartbeat time.Time
 	Activity
 
-	sequence   uint64
-	load       map[uint32]Load
-	sent       time.Time
-	hash       uint64    // of the address
-	paired     time.Time // since when it monitors this member or is monitored by it, zero = neither
-	sendsEarly bool      // a standby that sends earlier than expected: it considers this member lost, or one of its monitors
+	sequence uint64
+	load     map[uint32]Load
+	sent     time.Time
+	hash     uint64    // of the address
+	paired   time.Time // since when it monitors this member or is monitored by it, zero = neither
+	// sendsEarly reports that the peer is a standby that sends earlier than expected: it
+	// considers this member lost, or one of its monitors.
+	sendsEarly bool
 }
 
 // receivedGap is the longest gap that peers recently reported for a backend server.
@@ -152,8 +158,7 @@
 	Heartbeat *wire.Heartbeat
 }
 
-// Table is the state of the heartbeat protocol. It is not safe for concurrent
-// use.
+// Table is the state of the heartbeat protocol. It is not safe for concurrent use.
 type Table struct {
 	self              string // own address
 	perPeer           time.Duration
