--- a/core/ratelimit/bound_test.go
+++ b/core/ratelimit/bound_test.go
@@ -69,10 +69,14 @@
 
 // outcome is the result of one run.
 type outcome struct {
-	counted           int     // most requests at the first server in a window, from gateways that were not disturbed
+	// counted is the most requests at the first server in a window, from gateways that
+	// were not disturbed.
+	counted           int
 	all               int     // the same from all gateways
 	requestsPerPermit float64 // permit requests for each permit, of all gateways
-	used              float64 // fraction of the first server's limit that was used in the time without a fault
+	// used is the fraction of the first server's limit that was used in the time without
+	// a fault.
+	used float64
 }
 
 // scenario is a fleet and its servers, which report limits after a while.
@@ -152,7 +156,7 @@
 	used     float64 // least fraction of a limit that was used
 }
 
-func (e *extremes) note(out outcome, limit float64) {
+func (e *extremes) record(out outcome, limit float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.exceeded = max(e.exceeded, float64(out.counted)/allowed(limit))
@@ -176,7 +180,7 @@
 	const large = 30
 	worst := make(map[strategy]*extremes)
 	t.Run("scenes", func(t *testing.T) {
-		for _, w := range []strategy{byPermit, oneSender, evenParts} {
+		for _, w := range []strategy{byPermit, oneSender, evenShares} {
 			worst[w] = &extremes{used: 1}
 			for _, n := range []int{3, 8, large} {
 				for _, c := range scenes {
@@ -187,7 +191,7 @@
 						t.Logf("at most %d in %v of %g, %.2f of the limit used, %.1f requests for a permit",
 							out.counted, window, allowed(c.limits[0]), out.used, out.requestsPerPermit)
 						if n == large || w == byPermit {
-							worst[w].note(out, c.limits[0])
+							worst[w].record(out, c.limits[0])
 						}
 					})
 				}
@@ -198,5 +202,5 @@
 	is.True(worst[byPermit].exceeded <= 1-margin)
 	is.True(worst[byPermit].used >= 0.6)
 	is.True(worst[oneSender].used < 0.6)
-	is.True(worst[evenParts].exceeded > 1)
+	is.True(worst[evenShares].exceeded > 1)
 }
--- a/core/ratelimit/fleet_load_test.go
+++ b/core/ratelimit/fleet_load_test.go
@@ -83,7 +83,7 @@
 	defer f.mu.Unlock()
 	perSecond := known.rate()
 	switch {
-	case f.strategy == evenParts:
+	case f.strategy == evenShares:
 		perSecond /= float64(g.table.Members())
 	case g.first(s.key) != g.name:
 		return false
--- a/core/ratelimit/fleet_test.go
+++ b/core/ratelimit/fleet_test.go
@@ -29,8 +29,8 @@
 	connectTime = 3 * time.Millisecond
 	// answerTime is the time that a server takes for an answer.
 	answerTime = 30 * time.Millisecond
-	// beatTick is the interval at which a gateway looks for due heartbeats.
-	beatTick = 20 * time.Millisecond
+	// heartbeatTick is the interval at which a gateway looks for due heartbeats.
+	heartbeatTick = 20 * time.Millisecond
 	// smallFleet is the largest fleet in which all gateways are active.
 	smallFleet = 30
 )
@@ -41,7 +41,8 @@
 const (
 	byPermit  strategy = iota // as in production
 	oneSender                 // only the first gateway in rendezvous order sends
-	evenParts                 // each gateway has an even share of the limit, and sends at least one request at a time
+	// Each gateway has an even share of the limit, and sends at least one request at a time.
+	evenShares
 )
 
 func (w strategy) String() string { return [...]string{"permits", "one sender", "even parts"}[w] }
@@ -170,8 +171,8 @@
 }
 
 func (g *simGateway) run() {
-	wait.Sleep(g.fleet.ctx, time.Duration(g.fleet.draw(int(beatTick))))
-	for n := 0; wait.Sleep(g.fleet.ctx, beatTick); n++ {
+	wait.Sleep(g.fleet.ctx, time.Duration(g.fleet.draw(int(heartbeatTick))))
+	for n := 0; wait.Sleep(g.fleet.ctx, heartbeatTick); n++ {
 		if g.stopped() {
 			continue
 		}
--- a/core/ratelimit/gate.go
+++ b/core/ratelimit/gate.go
@@ -30,8 +30,8 @@
 	// Grantor returns the gateway that grants permits for a server in the view of this
 	// process, and whether that is this process. known is false if there is none.
 	Grantor(server Key) (id vm.ID, own, known bool)
-	// ReachableFraction returns the fraction of the possibly active gateways that this process reaches,
-	// itself included, see FleetView.
+	// ReachableFraction returns the fraction of the possibly active gateways that this
+	// process reaches, itself included; see FleetView.
 	ReachableFraction() float64
 	// RequestPermit requests a permit from another gateway.
 	RequestPermit(ctx context.Context, grantor vm.ID, s Observation) (Grant, error)
@@ -53,7 +53,7 @@
 // serverState is the state of a gate for one server with a limit.
 type serverState struct {
 	closedUntil time.Time     // no permit is requested before this time
-	pending     chan struct{} // closed when the pending permit request has ended, nil = none is pending
+	pending     chan struct{} // closed when the pending permit request has ended, nil = none
 }
 
 // Counts are the numbers of permit requests by result.
@@ -185,10 +185,10 @@
 		return Grant{Granted: true} // the requester does not know yet that the limit ended
 	}
 	_, own, known := g.net.Grantor(requested.Server)
-	part := g.net.ReachableFraction()
+	fraction := g.net.ReachableFraction()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.grantor.Handle(limit, FleetView{IsGrantor: known && own, ReachableFraction: part}, clock.Now())
+	return g.grantor.Handle(limit, FleetView{IsGrantor: known && own, ReachableFraction: fraction}, clock.Now())
 }
 
 // Expire removes the state of servers that no longer have a limit, and the buckets of
--- a/core/ratelimit/gate_test.go
+++ b/core/ratelimit/gate_test.go
@@ -99,7 +99,8 @@
 	is := is.New(t)
 	g := newTestGate(&fakeNetwork{own: true}, 1)
 	now := clock.Now()
-	is.True(!g.Grant(Observation{Server: 1, Limit: 1, Limited: true, At: now.Add(-time.Second)}).Granted) // before settleTime has passed
+	// Before settleTime has passed.
+	is.True(!g.Grant(Observation{Server: 1, Limit: 1, Limited: true, At: now.Add(-time.Second)}).Granted)
 	g.table.Record(1, unlimited, now.Add(time.Second), now)
 	is.True(g.Grant(Observation{Server: 1, Limit: 1, Limited: true, At: now}).Granted)
 	g = newTestGate(&fakeNetwork{own: false}, 1)
--- a/core/ratelimit/grantor.go
+++ b/core/ratelimit/grantor.go
@@ -39,8 +39,8 @@
 type FleetView struct {
 	// IsGrantor reports whether this process is the grantor for the server.
 	IsGrantor bool
-	// ReachableFraction is the fraction of the active gateways that this process reaches, itself
-	// included, of all that may be active: above 0, at most 1.
+	// ReachableFraction is the number of active gateways that this process reaches, itself
+	// included, as a fraction of all that may be active: above 0, at most 1.
 	ReachableFraction float64
 }
 
--- a/core/ratelimit/impose.go
+++ b/core/ratelimit/impose.go
@@ -4,13 +4,13 @@
 
 // RateWithin returns the limit at which one grantor lets through at most the given number
 // of requests in any second, including bursts and permits that are used late.
-func RateWithin(most float64) float64 {
+func RateWithin(maxRequests float64) float64 {
 	used := time.Second + permitTimeout
-	inBursts := most / (used + burstTime).Seconds()
+	inBursts := maxRequests / (used + burstTime).Seconds()
 	if inBursts*burstTime.Seconds() >= minBurst {
 		return inBursts
 	}
-	return max(minRate, (most-minBurst)/used.Seconds())
+	return max(minRate, (maxRequests-minBurst)/used.Seconds())
 }
 
 // Impose sets a limit that a server does not report itself. All processes impose it on
--- a/core/ratelimit/single.go
+++ b/core/ratelimit/single.go
@@ -24,7 +24,8 @@
 	return &Single{table: NewTable(func(Key) string { return name }, log), grantor: NewGrantor()}
 }
 
-// Record stores what an answer reported about the limit. sent is when the request was sent.
+// Record stores what an answer reported about the limit. sent is when the request was
+// sent.
 func (s *Single) Record(r Report, sent, now time.Time) { s.table.Record(onlyServer, r, sent, now) }
 
 // Take acquires the permit to send a request now. If there is none, it returns the time
--- a/core/ratelimit/statement.go
+++ b/core/ratelimit/statement.go
@@ -21,7 +21,7 @@
 // Report is what one answer reports about a limit.
 type Report struct {
 	Kind  LimitKind
-	Limit float64 // requests a second, 0 or more; only with SaidLimit
+	Limit float64 // requests a second, 0 or more; only with LimitSet
 }
 
 // LimitKind tells whether an answer reports a limit.
@@ -65,7 +65,8 @@
 		out.Limit = s.Limit
 	}
 	if age := now.Sub(s.At); age > 0 {
-		out.AgeMs = uint32((age + time.Millisecond - 1) / time.Millisecond) // rounded up: a relayed age must never be too low
+		// Rounded up: a relayed age must never be too low.
+		out.AgeMs = uint32((age + time.Millisecond - 1) / time.Millisecond)
 	}
 	return out
 }
--- a/core/ratelimit/table.go
+++ b/core/ratelimit/table.go
@@ -98,7 +98,7 @@
 }
 
 // Record stores what an answer to a request of this process reported. sent is when the
-// request was sent. Heard reports whether a limit ended.
+// request was sent. Record reports whether a limit ended.
 func (t *Table) Record(server Key, reported Report, sent, now time.Time) (ended bool) {
 	switch reported.Kind {
 	case LimitSet:
@@ -113,8 +113,8 @@
 	}
 }
 
-// ReceiveLimits records the observations that another gateway reports, and returns the servers
-// whose limits ended.
+// ReceiveLimits records the observations that another gateway reports, and returns the
+// servers whose limits ended.
 func (t *Table) ReceiveLimits(from vm.ID, limits []*wire.ServerLimit, now time.Time) []Key {
 	var ended []Key
 	for _, w := range limits {
@@ -151,7 +151,8 @@
 	after = KnownLimit{Observation: s, Source: source, Since: now, New: source != sourceImposed && now.Sub(t.startedAt) >= startupTime}
 	if old == nil {
 		if !s.Limited && (source == SourceAnswer || now.Sub(s.At) >= observationLifetime) {
-			return KnownLimit{}, KnownLimit{}, false // as far as known, the server had no limit before either
+			// As far as known, the server had no limit before either.
+			return KnownLimit{}, KnownLimit{}, false
 		}
 		t.evictOldest()
 		old = &KnownLimit{}
@@ -180,7 +181,7 @@
 
 // logChange logs a changed limit.
 func (t *Table) logChange(before, after KnownLimit, now time.Time) {
-	message := "backend server names a limit"
+	message := "backend server reports a limit"
 	switch {
 	case !after.Limited:
 		message = "limit of a backend server ended"
@@ -222,7 +223,7 @@
 }
 
 // Expire removes old observations of servers that are not listed, and old observations
-// that a limit ended.
+// of the end of a limit.
 func (t *Table) Expire(listed func(Key) bool, now time.Time) {
 	if t.count.Load() == 0 {
 		return
