--- a/core/clock/context.go
+++ b/core/clock/context.go
@@ -52,8 +52,8 @@
 	return err
 }
 
-// wakeInterval is how often listeners checks for a suspension. A deadline that passed
-// during a suspension is noticed at most this long after the machine resumes.
+// wakeInterval is the interval at which listeners.watch checks for a suspension. A deadline
+// that passed during a suspension is noticed at most this long after the machine resumes.
 const wakeInterval = 50 * time.Millisecond
 
 // wakeups holds the functions that are called after a suspension of the machine.
