--- a/core/expertmap/demand.go
+++ b/core/expertmap/demand.go
@@ -97,8 +97,8 @@
 	defaultInterval = 4 * time.Second
 )
 
-// DemandLifetime estimates how long the present demand will last, from the intervals between
-// its changes.
+// DemandLifetime estimates how long the present demand will last, from the intervals
+// between its changes.
 type DemandLifetime struct {
 	changed  time.Time     // time of the latest change
 	observed bool          // a change was observed
--- a/core/expertmap/expertmap.go
+++ b/core/expertmap/expertmap.go
@@ -60,7 +60,8 @@
 	return m, nil
 }
 
-// RoundRobin returns the map that holds each expert once, assigned to the ranks round-robin.
+// RoundRobin returns the map that holds each expert once, assigned to the ranks
+// round-robin.
 // Spare slots are empty.
 func RoundRobin(s Shape) Map {
 	m := Map{Layers: make([][]int32, s.Layers)}
