--- a/core/link/link_test.go
+++ b/core/link/link_test.go
@@ -153,7 +153,7 @@
 	})
 }
 
-func TestTrimClosesOnlyUnusedLinks(t *testing.T) {
+func TestCloseIdleClosesOnlyUnusedLinks(t *testing.T) {
 	is := is.New(t)
 	p := NewPool(local("a"), nil, nil, nil)
 	defer p.Close()
--- a/core/link/pool.go
+++ b/core/link/pool.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// CloseIdle closes the links that Get has not returned since the given time. Each link costs
-// both sides some tens of kilobytes, so links that are used only occasionally must not
-// accumulate until there is one per VM.
+// CloseIdle closes the links that Get has not returned since the given time. Each link
+// costs both sides some tens of kilobytes, so links that are used only occasionally must
+// not accumulate until there is one per VM.
 func (p *Pool) CloseIdle(since time.Time) {
 	for _, s := range p.all() {
 		s.mu.Lock()
