--- a/core/settings/numbers.go
+++ b/core/settings/numbers.go
@@ -7,8 +7,8 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// fractionProblems returns a problem for each fractional number given for an integer field:
-// the YAML library truncates such numbers without an error.
+// fractionProblems returns a problem for each fractional number given for an integer
+// field: the YAML library truncates such numbers without an error.
 func fractionProblems(file *ast.File, target reflect.Type) []Problem {
 	f := &fractionFinder{target: target}
 	for _, doc := range file.Docs {
