--- a/core/ratelimit/table.go
+++ b/core/ratelimit/table.go
@@ -181,7 +181,7 @@
 
 // logChange logs a changed limit.
 func (t *Table) logChange(before, after KnownLimit, now time.Time) {
-	message := "backend server reports a limit"
+	message := "backend server names a limit"
 	switch {
 	case !after.Limited:
 		message = "limit of a backend server ended"
