--- a/standin/cmd/experiment/control.go
+++ b/standin/cmd/experiment/control.go
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// runnersPerService is the number of runners of each service in the target deployment.
+// runnersPerService keeps the services as small as in the target deployment, where each
+// service has 20 runners.
 const runnersPerService = 20
 
 // settleTime is the base of the delay before the measurement; measureSize adds 100 ms for
--- a/standin/cmd/experiment/limits.go
+++ b/standin/cmd/experiment/limits.go
@@ -43,20 +43,20 @@
 
 // limitVM is one entry VM of the simulation.
 type limitVM struct {
-	holder  limits.Holder
-	grantor *limits.Grantor
-	dead    bool
-	paused  bool
-	side    int // side of the partition that the VM is on, 0 without one
-	usable  [limitVMs]bool
-	stable  time.Time // time of the last change of usable
+	holder         limits.Holder
+	grantor        *limits.Grantor
+	dead           bool
+	paused         bool
+	side           int // side of the partition that the VM is on, 0 without one
+	usable         [limitVMs]bool
+	unchangedSince time.Time // time of the last change of usable
 }
 
 func (c *limitsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	faults := []string{"none", "kill of the grantor", "kill of the hot VM", "pause of the grantor, 10 s", "pause of the hot VM, 10 s", "partition 4/4, 10 s"}
 	for _, fault := range faults {
 		for _, leased := range []bool{false, true} {
-			r := newLimitReplay(c.limit, c.seed, leased)
+			r := newLimitSimulation(c.limit, c.seed, leased)
 			r.run(fault)
 			name := "static limit/N"
 			if leased {
@@ -68,8 +68,8 @@
 	return subcommands.ExitSuccess
 }
 
-// limitReplay is one run of the simulation.
-type limitReplay struct {
+// limitSimulation is one run of the simulation.
+type limitSimulation struct {
 	limit        int
 	leased       bool
 	rnd          *rand.Rand
@@ -83,10 +83,10 @@
 	unused, wanted float64
 }
 
-func newLimitReplay(limit int, seed uint64, leased bool) *limitReplay {
-	r := &limitReplay{limit: limit, leased: leased, rnd: rand.New(rand.NewPCG(seed, 0)), now: time.Unix(1_700_000_000, 0), hot: 3}
+func newLimitSimulation(limit int, seed uint64, leased bool) *limitSimulation {
+	r := &limitSimulation{limit: limit, leased: leased, rnd: rand.New(rand.NewPCG(seed, 0)), now: time.Unix(1_700_000_000, 0), hot: 3}
 	for i := range r.vms {
-		r.vms[i] = &limitVM{grantor: limits.NewGrantor(r.now), stable: r.now.Add(-time.Hour)}
+		r.vms[i] = &limitVM{grantor: limits.NewGrantor(r.now), unchangedSince: r.now.Add(-time.Hour)}
 		for j := range r.vms {
 			r.vms[i].usable[j] = true
 		}
@@ -100,7 +100,7 @@
 	replayTime = 30 * time.Second
 )
 
-func (r *limitReplay) run(fault string) {
+func (r *limitSimulation) run(fault string) {
 	began := r.now
 	for r.now.Sub(began) < replayTime {
 		r.now = r.now.Add(limitTick)
@@ -121,7 +121,7 @@
 	}
 }
 
-func (r *limitReplay) inject(fault string, at time.Duration) {
+func (r *limitSimulation) inject(fault string, at time.Duration) {
 	active := at >= faultTime && at < 2*faultTime
 	switch fault {
 	case "kill of the grantor":
@@ -143,7 +143,7 @@
 }
 
 // kill stops a VM and releases its requests.
-func (r *limitReplay) kill(i int, at time.Duration) {
+func (r *limitSimulation) kill(i int, at time.Duration) {
 	if at < faultTime || r.vms[i].dead {
 		return
 	}
@@ -153,13 +153,13 @@
 	}
 }
 
-func (r *limitReplay) reaches(i, j int) bool {
+func (r *limitSimulation) reaches(i, j int) bool {
 	a, b := r.vms[i], r.vms[j]
 	return !b.dead && !b.paused && a.side == b.side
 }
 
 // detect updates, once in each detection interval, which VMs every VM can reach.
-func (r *limitReplay) detect(_ string, at time.Duration) {
+func (r *limitSimulation) detect(_ string, at time.Duration) {
 	if at%detection >= limitTick {
 		return
 	}
@@ -170,13 +170,13 @@
 		for j := range r.vms {
 			if now := i == j || r.reaches(i, j); now != v.usable[j] {
 				v.usable[j] = now
-				v.stable = r.now
+				v.unchangedSince = r.now
 			}
 		}
 	}
 }
 
-func (r *limitReplay) serve(i int, v *limitVM) {
+func (r *limitSimulation) serve(i int, v *limitVM) {
 	base := r.limit / limitVMs
 	if r.leased {
 		base = limits.Base(r.limit, limitVMs)
@@ -196,7 +196,7 @@
 }
 
 // demand is the number of concurrent requests that a VM's callers want.
-func (r *limitReplay) demand(i int) int {
+func (r *limitSimulation) demand(i int) int {
 	total := 1.2 * float64(r.limit)
 	if i == r.hot {
 		return int(hotShare * total)
@@ -204,7 +204,7 @@
 	return int((1 - hotShare) * total / (limitVMs - 1))
 }
 
-func (r *limitReplay) requestShare(i int, v *limitVM) {
+func (r *limitSimulation) requestShare(i int, v *limitVM) {
 	a := v.holder.LeaseRequest(vm.ID(fmt.Sprint(i)), r.now)
 	grantor := r.grantorIndex
 	for !v.usable[grantor] {
@@ -220,13 +220,13 @@
 			reachable++
 		}
 	}
-	fleet := limits.Fleet{Listed: limitVMs, Reachable: reachable, GrantorSince: g.stable}
+	fleet := limits.Fleet{Listed: limitVMs, Reachable: reachable, GrantorSince: g.unchangedSince}
 	v.holder.Granted(g.grantor.Handle(a, r.limit, fleet, r.now), r.now)
 }
 
 // complete ends requests at random, also those of paused VMs, whose backend servers continue
 // to run.
-func (r *limitReplay) complete(v *limitVM) {
+func (r *limitSimulation) complete(v *limitVM) {
 	for range v.holder.Running() {
 		if r.rnd.Float64() < float64(limitTick)/float64(meanService) {
 			v.holder.Release()
@@ -234,7 +234,7 @@
 	}
 }
 
-func (r *limitReplay) account() {
+func (r *limitSimulation) account() {
 	running, wanted := 0, 0
 	for i, v := range r.vms {
 		running += v.holder.Running()
--- a/standin/history/history_test.go
+++ b/standin/history/history_test.go
@@ -24,18 +24,18 @@
 // presentation is one caller's presentation of a ticket, divided into steps that can
 // interleave with those of other callers.
 type presentation struct {
-	ticket      *contract.Ticket
-	id          contract.AttemptID
-	queriesFate bool // queries the outcome after Accept
-	nextStep    int  // step to execute next
-	verdict     record.Verdict
-	result      load.Result
+	ticket         *contract.Ticket
+	id             contract.AttemptID
+	queriesOutcome bool // queries the outcome after Accept
+	nextStep       int  // step to execute next
+	verdict        record.Verdict
+	result         load.Result
 }
 
 // Steps of a presentation.
 const (
 	stepAccept = iota
-	stepFate
+	stepQuery
 	stepHandOver
 	stepCount
 )
@@ -52,10 +52,10 @@
 	for i := range 40 {
 		work := fmt.Sprintf("work-%d", i/4) // 4 presentations of each ticket
 		waiting = append(waiting, &presentation{
-			ticket:      &contract.Ticket{Service: "s", VM: "a", Incarnation: incarnation, Nonce: work, Issued: now, Expires: now.Add(time.Minute)},
-			id:          contract.AttemptID{Request: contract.RequestID(fmt.Sprint(i)), Number: 1},
-			queriesFate: rnd.IntN(2) == 0,
-			result:      load.Result{Request: load.Request{Work: work, NonIdempotent: true}, Outcome: load.Unknown},
+			ticket:         &contract.Ticket{Service: "s", VM: "a", Incarnation: incarnation, Nonce: work, Issued: now, Expires: now.Add(time.Minute)},
+			id:             contract.AttemptID{Request: contract.RequestID(fmt.Sprint(i)), Number: 1},
+			queriesOutcome: rnd.IntN(2) == 0,
+			result:         load.Result{Request: load.Request{Work: work, NonIdempotent: true}, Outcome: load.Unknown},
 		})
 	}
 	var results []load.Result
@@ -83,8 +83,8 @@
 	case stepAccept:
 		p.result.Called = now
 		p.verdict = table.Accept(p.id, p.ticket, now)
-	case stepFate:
-		if p.queriesFate {
+	case stepQuery:
+		if p.queriesOutcome {
 			table.Fate(record.Query{ID: p.id, Incarnation: p.ticket.Incarnation, Sent: p.result.Called, Deadline: p.ticket.Expires}, now)
 		}
 	case stepHandOver:
--- a/standin/outage/model.go
+++ b/standin/outage/model.go
@@ -340,7 +340,7 @@
 			Interrupted: c.interrupted,
 		},
 		Situation:         admission.Situation{RecoversIn: g.outage.RecoversIn(s.timeAt(s.now)), Waiting: g.queued, Quota: quota, Taken: g.late, Stay: stay},
-		Left:              c.limit - s.now,
+		TimeLeft:          c.limit - s.now,
 		InterruptedQueued: g.interruptedQueued,
 	}
 }
--- a/standin/outage/policy.go
+++ b/standin/outage/policy.go
@@ -10,7 +10,7 @@
 type View struct {
 	Request           admission.Request
 	Situation         admission.Situation
-	Left              time.Duration // until the caller's deadline
+	TimeLeft          time.Duration // until the caller's deadline
 	InterruptedQueued int           // interrupted requests that wait at the gateway
 }
 
@@ -49,7 +49,7 @@
 
 // Pause implements Policy.
 func (Admission) Pause(v View, p *admission.Pacer, draw float64, now time.Time) time.Duration {
-	return p.Pause(v.Situation, v.Left, draw, now)
+	return p.Pause(v.Situation, v.TimeLeft, draw, now)
 }
 
 // Unrestricted gives any free slot to any request, lets requests wait as long as their
@@ -93,7 +93,7 @@
 	if v.Situation.RecoversIn > 0 {
 		pause = 2 * time.Second
 	}
-	return min(v.Left/3, pause+time.Duration(0.2*draw*float64(pause)))
+	return min(v.TimeLeft/3, pause+time.Duration(0.2*draw*float64(pause)))
 }
 
 // NoQuota is Admission without slots reserved for requests that are on time.
