--- a/standin/soak/cmd/soak/config.go
+++ b/standin/soak/cmd/soak/config.go
@@ -18,16 +18,16 @@
 // config publishes the configuration. Each version adds a route of its own and removes
 // the route that the version two before it added.
 type config struct {
-	author *standin.Reconciler
-	cold   standin.Service // load limit of the plain service's backend servers after a start
+	reconciler *standin.Reconciler
+	cold       standin.Service // load limit of the plain service's backend servers after a start
 
 	mu      sync.Mutex
 	version uint64
 	at      time.Time // when the current version was published
 }
 
-func newConfig(author *standin.Reconciler, cold standin.Service) *config {
-	return &config{author: author, cold: cold}
+func newConfig(reconciler *standin.Reconciler, cold standin.Service) *config {
+	return &config{reconciler: reconciler, cold: cold}
 }
 
 // versionPath returns the path prefix of the route that a version adds.
@@ -54,7 +54,7 @@
 		routes = append(routes, route(versionPath(c.version-1), standin.KindSafe, plainService, 2))
 	}
 	services := []standin.Service{{Name: plainService, ColdS: c.cold.ColdS, ColdPerS: c.cold.ColdPerS}, {Name: modelService, Slots: slots, Shape: &shape}}
-	c.author.Put(standin.ConfigKey, standin.EncodeConfig(c.version, routes, services, map[string]string{"team": teamKey}))
+	c.reconciler.Put(standin.ConfigKey, standin.EncodeConfig(c.version, routes, services, map[string]string{"team": teamKey}))
 	c.at = time.Now()
 }
 
--- a/standin/soak/cmd/soak/evacuation.go
+++ b/standin/soak/cmd/soak/evacuation.go
@@ -46,22 +46,22 @@
 		return
 	}
 	key := standin.EvacuationPrefix + z
-	f.world.author.Put(key, []byte("{}"))
+	f.world.reconciler.Put(key, []byte("{}"))
 	f.awaitWritten(ctx, key)
-	var emptied []*standin.Runner
+	var runners []*standin.Runner
 	for _, b := range f.world.backends {
 		if b.zone == z {
-			emptied = append(emptied, b.current())
+			runners = append(runners, b.current())
 		}
 	}
-	for _, r := range emptied {
+	for _, r := range runners {
 		r.SetEvacuated(true)
 	}
 	wait.Sleep(ctx, evacuationTime+d.duration)
-	for _, r := range emptied {
+	for _, r := range runners {
 		r.SetEvacuated(false)
 	}
-	f.world.author.Delete(key)
+	f.world.reconciler.Delete(key)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.evacuated[z] = false
--- a/standin/soak/cmd/soak/faults.go
+++ b/standin/soak/cmd/soak/faults.go
@@ -34,11 +34,11 @@
 // span is a period during which a fault was in force.
 type span struct{ from, to time.Time }
 
-// fault is a kind of fault. Its play function returns when the fault is over.
+// fault is a kind of fault. Its run function returns when the fault is over.
 type fault struct {
 	name    string
 	planned bool // planned work, which callers must not notice
-	play    func(f *faults, ctx context.Context, d draw)
+	run     func(f *faults, ctx context.Context, d draw)
 }
 
 // draw holds the random choices of one fault. They are all drawn before the fault is
@@ -75,11 +75,11 @@
 	{"backend connections reset", false, (*faults).resetBackend},
 	{"backend silenced", false, (*faults).silenceBackend},
 	{"backend delayed", false, (*faults).delayBackend},
-	{"store silent for one gateway", false, (*faults).cutStore},
-	{"store away", false, (*faults).storeAway},
+	{"store silent for one gateway", false, (*faults).silenceStore},
+	{"store away", false, (*faults).storeUnavailable},
 	{"store history dropped", false, (*faults).compactStore},
 	{"lethal request", false, (*faults).sendLethal},
-	{"store back from an older copy", false, (*faults).returnStore},
+	{"store back from an older copy", false, (*faults).restoreStore},
 	{"limit named", true, (*faults).announceLimit},
 	{"availability zone evacuated", true, (*faults).evacuate},
 	{"rest asked by one", true, (*faults).askForBackoff},
@@ -98,10 +98,10 @@
 	return out
 }
 
-// play injects faults for o.length and waits until they are over. If o.kinds is not 0, it
-// uses only that many kinds from the start of the list. With o.focus, half of the faults
-// are of the kinds in focus.
-func (f *faults) play(ctx context.Context, o options) {
+// injectAll injects faults for o.length and waits until they are over. If o.kinds is not 0,
+// it uses only that many kinds from the start of the list. With o.focus, half of the
+// faults are of the kinds in focus.
+func (f *faults) injectAll(ctx context.Context, o options) {
 	among := o.kinds
 	if among == 0 {
 		among = len(kinds)
@@ -144,7 +144,7 @@
 		fmt.Printf("  %s %s %+v\n", from.Format("05.000"), kind.name, d)
 	}
 	f.mu.Unlock()
-	kind.play(f, ctx, d)
+	kind.run(f, ctx, d)
 	if kind.planned {
 		return
 	}
@@ -215,7 +215,7 @@
 	}
 	f.replace(ctx, i, "", func(r *standin.Runner) {
 		if d.variant == 0 {
-			f.world.author.Delete(standin.ServerPrefix + r.ID)
+			f.world.reconciler.Delete(standin.ServerPrefix + r.ID)
 		} else {
 			f.world.list(i, r, true)
 		}
@@ -232,7 +232,7 @@
 	r := b.current()
 	leave(r)
 	wait.Sleep(ctx, drainNotice)
-	w.author.Delete(standin.ServerPrefix + r.ID)
+	w.reconciler.Delete(standin.ServerPrefix + r.ID)
 	if b.current() != r {
 		return // it has crashed in the meantime
 	}
@@ -246,7 +246,7 @@
 // contactTime. By the users' rules a backend server counts as leaving once a stable store
 // has published it; a change made before that may be lost before any gateway has read it.
 func (f *faults) awaitWritten(ctx context.Context, key string) {
-	written := func() bool { return f.world.author.InSync(key) && f.world.store.HealthyFor() >= contactTime }
+	written := func() bool { return f.world.reconciler.InSync(key) && f.world.store.HealthyFor() >= contactTime }
 	for !written() && wait.Sleep(ctx, storePoll) {
 	}
 }
@@ -342,7 +342,7 @@
 		fmt.Println("  backend server not started:", err)
 	}
 	wait.Sleep(ctx, d.duration/2) // until the lease of the old entry expires
-	w.author.Delete(standin.ServerPrefix + r.ID)
+	w.reconciler.Delete(standin.ServerPrefix + r.ID)
 }
 
 func (f *faults) resetCallers(_ context.Context, d draw) { f.gateway(d).callers.reset() }
@@ -374,9 +374,9 @@
 	r.delay(0)
 }
 
-func (f *faults) cutStore(ctx context.Context, d draw) { f.silence(ctx, f.gateway(d).store, d) }
+func (f *faults) silenceStore(ctx context.Context, d draw) { f.silence(ctx, f.gateway(d).store, d) }
 
-func (f *faults) storeAway(ctx context.Context, d draw) {
+func (f *faults) storeUnavailable(ctx context.Context, d draw) {
 	mode := standin.StoreUnavailable
 	if d.variant == 0 {
 		mode = standin.StoreUnresponsive
@@ -389,9 +389,9 @@
 // maxLost bounds the number of latest changes that a restored copy of the store lacks.
 const maxLost = 12
 
-// returnStore makes the store unavailable for a moment and then restores it from a copy
-// that lacks its latest changes, which the author writes again.
-func (f *faults) returnStore(ctx context.Context, d draw) {
+// restoreStore makes the store unavailable for a moment and then restores it from a copy
+// that lacks its latest changes, which the reconciler writes again.
+func (f *faults) restoreStore(ctx context.Context, d draw) {
 	mode := standin.StoreUnavailable
 	if d.variant == 0 {
 		mode = standin.StoreUnresponsive
--- a/standin/soak/cmd/soak/inforce.go
+++ b/standin/soak/cmd/soak/inforce.go
@@ -58,7 +58,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	switch {
-	case !i.world.author.InSync(standin.ConfigKey):
+	case !i.world.reconciler.InSync(standin.ConfigKey):
 		i.heldVersion = 0
 	case i.heldVersion != version:
 		i.heldVersion, i.heldSince = version, time.Now()
--- a/standin/soak/cmd/soak/lethal.go
+++ b/standin/soak/cmd/soak/lethal.go
@@ -30,7 +30,7 @@
 	case 1:
 		kind, prefix = standin.KindUnsafe, unsafePath
 	}
-	path := fmt.Sprintf("%s%s%d", prefix, standin.LethalPart, d.which)
+	path := fmt.Sprintf("%s%s%d", prefix, standin.LethalMarker, d.which)
 	sender := &standin.Caller{Host: host, Key: teamKey, Connect: f.load.connect, Deadline: callerDeadline, Body: "lethal"}
 	for n, end := 0, time.Now().Add(lethalTime); time.Now().Before(end) && ctx.Err() == nil; n++ {
 		f.sendOnce(sender, f.world.gateways[(d.which+n)%len(f.world.gateways)], fmt.Sprintf("l%d-%d", d.which, n), kind, path)
@@ -60,18 +60,18 @@
 		r.checkAttempt(w, f, a)
 	}
 	for path, seen := range w.ledger.Lethal() {
-		if len(seen.Ends) < 3 {
+		if len(seen.Crashes) < 3 {
 			continue
 		}
 		r.quarantined++
 		late := 0
 		for _, arrival := range seen.Arrivals {
-			if arrival.At.After(seen.Ends[2].Add(contactTime)) && !f.recentlyPaused(sent[arrival.ID].Gateway, arrival.At) {
+			if arrival.At.After(seen.Crashes[2].Add(contactTime)) && !f.recentlyPaused(sent[arrival.ID].Gateway, arrival.At) {
 				late++
 			}
 		}
 		if late > maxLate {
-			r.violatedf("%s reached backend servers %d times after %d had ended", path, late, len(seen.Ends))
+			r.violatedf("%s reached backend servers %d times after %d had ended", path, late, len(seen.Crashes))
 		}
 	}
 	for _, a := range l.attempts {
--- a/standin/soak/cmd/soak/main.go
+++ b/standin/soak/cmd/soak/main.go
@@ -109,7 +109,7 @@
 	w.faults = f
 	watcher := newConfigWatcher(w, f)
 	go watcher.run(loadCtx)
-	f.play(ctx, o)
+	f.injectAll(ctx, o)
 	f.heal(ctx)
 	healedAt := time.Now()
 	wait.Sleep(ctx, recovery)
--- a/standin/soak/cmd/soak/soak_test.go
+++ b/standin/soak/cmd/soak/soak_test.go
@@ -19,13 +19,13 @@
 	// had left during the pause.
 	{"first requests after a pause", 70236, 10 * time.Second, size{gateways: 4, plain: 3, groups: 2, ranks: 3, rate: 60}, 17, ""},
 	// A backend server's entry was removed 0.5 s after the store had become unavailable for
-	// 1.6 s. The server received requests until 1.5 s after the store's return, when gateways
-	// treat a missing entry as removed. By the users' rules the server counts as leaving from
-	// the store's return.
-	{"entry removed while the store is away", 281024, 8 * time.Second, size{gateways: 4, plain: 3, groups: 2, ranks: 3, rate: 60}, 18, ""},
+	// 1.6 s. The server received requests until 1.5 s after the store was available again, when
+	// gateways treat a missing entry as removed. By the users' rules the server counts as
+	// leaving from when the store is available again.
+	{"entry removed while the store is unavailable", 281024, 8 * time.Second, size{gateways: 4, plain: 3, groups: 2, ranks: 3, rate: 60}, 18, ""},
 	// The store was restored from an older copy and assigned revisions a second time. Five
 	// requests reached a backend server that had left, through all gateways.
-	{"a server that left after a return of the store", 2, 10 * time.Second, size{gateways: 4, plain: 3, groups: 2, ranks: 3, rate: 60}, 19, "older copy,configuration,replaced"},
+	{"a server that left after a restore of the store", 2, 10 * time.Second, size{gateways: 4, plain: 3, groups: 2, ranks: 3, rate: 60}, 19, "older copy,configuration,replaced"},
 }
 
 const (
--- a/standin/soak/cmd/soak/world.go
+++ b/standin/soak/cmd/soak/world.go
@@ -140,7 +140,7 @@
 	dir         string
 	rnd         *rand.Rand
 	store       *standin.Store
-	author      *standin.Reconciler
+	reconciler  *standin.Reconciler
 	storeServer *http.Server
 	ledger      *standin.Ledger
 	gateways    []*gateway
@@ -167,8 +167,8 @@
 		dir: dir, seed: seed, rnd: rand.New(rand.NewPCG(seed, 1)), store: standin.NewStore(), ledger: standin.NewLedger(),
 		subnet: byte(100 + os.Getpid()%100), cold: o.cold(),
 	}
-	w.author = standin.NewReconciler(w.store)
-	w.config = newConfig(w.author, w.cold)
+	w.reconciler = standin.NewReconciler(w.store)
+	w.config = newConfig(w.reconciler, w.cold)
 	for i := range s.gateways {
 		w.gateways = append(w.gateways, w.newGateway(b, i))
 	}
@@ -226,7 +226,7 @@
 	}
 	w.storeServer = &http.Server{Handler: w.store, ReadHeaderTimeout: time.Second}
 	go func() { _ = w.storeServer.Serve(ln) }() // returns after close
-	go w.author.Run(ctx)
+	go w.reconciler.Run(ctx)
 	for _, g := range w.groups {
 		go g.Run(ctx)
 	}
@@ -294,7 +294,7 @@
 	if b.service == plainService && w.cold.ColdPerS > 0 {
 		left = max(0, coldTime-time.Since(r.Started()))
 	}
-	w.author.Put(standin.ServerPrefix+r.ID, standin.EncodeStartedServer(b.service, w.published(i), b.zone, slots, draining, left, b.reusedSince(r)))
+	w.reconciler.Put(standin.ServerPrefix+r.ID, standin.EncodeStartedServer(b.service, w.published(i), b.zone, slots, draining, left, b.reusedSince(r)))
 }
 
 func (w *world) startProcesses(store string) error {
