--- a/agent/rankserver/hold.go
+++ b/agent/rankserver/hold.go
@@ -24,5 +24,5 @@
 	gateways := append([]string(nil), r.settings.Gateways...)
 	rand.Shuffle(len(gateways), func(i, j int) { gateways[i], gateways[j] = gateways[j], gateways[i] })
 	gateways = gateways[:min(len(gateways), maxHoldGateways)]
-	r.node.AskHold(gateways, cluster.Hold{Engine: net.JoinHostPort(host, port), Epoch: epoch, Step: step})
+	r.node.RequestHold(gateways, cluster.Hold{Engine: net.JoinHostPort(host, port), Epoch: epoch, Step: step})
 }
--- a/core/cluster/hold.go
+++ b/core/cluster/hold.go
@@ -14,9 +14,9 @@
 	Step   uint64
 }
 
-// AskHold asks members to pass the order on. The request is sent once and has no reply:
+// RequestHold asks members to pass the order on. The request is sent once and has no reply:
 // the step that the rank holds is read from the rank.
-func (n *Node) AskHold(members []string, h Hold) {
+func (n *Node) RequestHold(members []string, h Hold) {
 	hb := &wire.Heartbeat{Hold: &wire.RankHold{Engine: h.Engine, Epoch: h.Epoch, Step: h.Step}}
 	out := make([]Datagram, 0, len(members))
 	for _, address := range members {
--- a/core/ratelimit/fleet_load_test.go
+++ b/core/ratelimit/fleet_load_test.go
@@ -178,7 +178,7 @@
 	for _, g := range f.gateways {
 		c := g.gate.Counts()
 		sum.Got += c.Got
-		sum.Lacked += c.Lacked
+		sum.Denied += c.Denied
 	}
-	return float64(sum.Got+sum.Lacked) / float64(max(1, sum.Got))
+	return float64(sum.Got+sum.Denied) / float64(max(1, sum.Got))
 }
--- a/core/ratelimit/fleet_test.go
+++ b/core/ratelimit/fleet_test.go
@@ -283,7 +283,7 @@
 		return Grant{}, errSilent
 	}
 	to.waitWhileFrozen() // the request waits in its socket buffer
-	statement, _ := StatementFromWire(encoded.GetLimit(), clock.Now())
+	statement, _ := ObservationFromWire(encoded.GetLimit(), clock.Now())
 	gate := get(f, &to.gate)
 	grant := GrantFromWire(gate.Grant(statement).ToWire())
 	if !wait.Sleep(ctx, hop) {
--- a/core/ratelimit/gate.go
+++ b/core/ratelimit/gate.go
@@ -59,7 +59,7 @@
 // Counts are the numbers of permit requests by result.
 type Counts struct {
 	Got        uint64 // granted, and used at once unless the caller left in the meantime
-	Lacked     uint64 // denied
+	Denied     uint64 // denied
 	Unanswered uint64 // the grantor did not answer, or none was known
 }
 
@@ -70,7 +70,7 @@
 
 // Counts returns the numbers of permit requests by result.
 func (g *Gate) Counts() Counts {
-	return Counts{Got: g.granted.Load(), Lacked: g.denied.Load(), Unanswered: g.unanswered.Load()}
+	return Counts{Got: g.granted.Load(), Denied: g.denied.Load(), Unanswered: g.unanswered.Load()}
 }
 
 // Opens returns when a request may next be tried at a server with a limit, and the limit.
--- a/core/ratelimit/gate_test.go
+++ b/core/ratelimit/gate_test.go
@@ -63,7 +63,7 @@
 		time.Sleep(time.Second)
 		is.True(errors.Is(g.Take(t.Context(), 1), ErrClosed))
 		is.Equal(requests, 4)
-		is.Equal(g.Counts(), Counts{Got: 2, Lacked: 2})
+		is.Equal(g.Counts(), Counts{Got: 2, Denied: 2})
 	})
 }
 
--- a/core/ratelimit/statement.go
+++ b/core/ratelimit/statement.go
@@ -94,9 +94,9 @@
 	return Grant{Granted: w.GetGranted(), Wait: min(wait, maxWait), Elsewhere: w.GetElsewhere()}
 }
 
-// StatementFromWire decodes an observation. It returns false if the observation is
+// ObservationFromWire decodes an observation. It returns false if the observation is
 // invalid.
-func StatementFromWire(w *wire.ServerLimit, now time.Time) (Observation, bool) {
+func ObservationFromWire(w *wire.ServerLimit, now time.Time) (Observation, bool) {
 	limit := w.GetLimit()
 	valid := limit >= 0 && limit <= MaxLimit // false for NaN
 	if w == nil || !valid || w.GetEnded() && limit != 0 {
--- a/core/ratelimit/table.go
+++ b/core/ratelimit/table.go
@@ -118,7 +118,7 @@
 func (t *Table) ReceiveLimits(from vm.ID, limits []*wire.ServerLimit, now time.Time) []Key {
 	var ended []Key
 	for _, w := range limits {
-		s, ok := StatementFromWire(w, now)
+		s, ok := ObservationFromWire(w, now)
 		if !ok {
 			t.log.Warn().Str("peer", string(from)).Uint64("server_incarnation", w.GetServer()).Float64("limit", w.GetLimit()).
 				Msg("malformed limit ignored")
--- a/core/ratelimit/table_test.go
+++ b/core/ratelimit/table_test.go
@@ -113,7 +113,7 @@
 		"missing": nil, "negative": {Limit: -1}, "no number": {Limit: nan}, "too large": {Limit: 2 * MaxLimit}, "ended with a limit": {Limit: 1, Ended: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, ok := StatementFromWire(w, now)
+			_, ok := ObservationFromWire(w, now)
 			is.New(t).True(!ok)
 		})
 	}
--- a/entry/admission/admission_test.go
+++ b/entry/admission/admission_test.go
@@ -38,7 +38,7 @@
 	is := is.New(t)
 	// 63 ranks with 10 slots each, 12 gateways, 224 streams per second with a service
 	// time of 1.5 s
-	p := Places{Slots: 630, Members: 12, OnTimeRate: 224.0 / 12, Stay: 1500 * ms}
+	p := Capacity{Slots: 630, Members: 12, OnTimeRate: 224.0 / 12, ServiceTime: 1500 * ms}
 	is.Equal(LateQuota(p), 52.5-28)
 	p.OnTimeRate = 40 // more than this process's share of the slots
 	is.True(LateQuota(p) < 0)
@@ -46,7 +46,7 @@
 
 func TestMayWait(t *testing.T) {
 	request := Request{Objective: 400 * ms, Limit: 1900 * ms, FirstAnswer: 150 * ms}
-	busy := Situation{Quota: 8, Taken: 8, Stay: 1600 * ms} // a slot is released every 0.2 s
+	busy := Situation{Quota: 8, Taken: 8, ServiceTime: 1600 * ms} // a slot is released every 0.2 s
 	cases := []struct {
 		name string
 		r    func(*Request)
@@ -85,7 +85,7 @@
 	is := is.New(t)
 	var p Pacer
 	now := time.Unix(0, 0)
-	s := Situation{RecoversIn: time.Second, Quota: 4, Stay: 800 * ms} // a slot is released every 0.2 s
+	s := Situation{RecoversIn: time.Second, Quota: 4, ServiceTime: 800 * ms} // a slot is released every 0.2 s
 	var last time.Duration
 	for i := range 6 {
 		pause := p.Pause(s, 8*time.Second, 0, now)
@@ -102,7 +102,7 @@
 		s := Situation{
 			RecoversIn: time.Duration(rapid.IntRange(0, 5000).Draw(t, "recovers in")) * ms,
 			Waiting:    rapid.IntRange(0, 500).Draw(t, "waiting"), Quota: rapid.Float64Range(-50, 50).Draw(t, "quota"),
-			Taken: rapid.IntRange(0, 50).Draw(t, "taken"), Stay: time.Duration(rapid.IntRange(0, 5000).Draw(t, "stay")) * ms,
+			Taken: rapid.IntRange(0, 50).Draw(t, "taken"), ServiceTime: time.Duration(rapid.IntRange(0, 5000).Draw(t, "stay")) * ms,
 		}
 		left := time.Duration(rapid.IntRange(0, 60_000).Draw(t, "left")) * ms
 		var p Pacer
--- a/entry/admission/wait.go
+++ b/entry/admission/wait.go
@@ -16,8 +16,8 @@
 	// number that are in flight.
 	Quota float64
 	Taken int
-	// Stay is the expected time for which a request occupies a slot.
-	Stay time.Duration
+	// ServiceTime is the expected time for which a request occupies a slot.
+	ServiceTime time.Duration
 }
 
 // never is the wait for something that is not expected to happen.
@@ -44,7 +44,7 @@
 	if s.Quota <= 0 {
 		return never
 	}
-	return bounded(float64(s.Stay) / s.Quota)
+	return bounded(float64(s.ServiceTime) / s.Quota)
 }
 
 // maxWait is the value to which expected waits are cut, far longer than any real wait.
--- a/entry/balance/late.go
+++ b/entry/balance/late.go
@@ -16,9 +16,9 @@
 
 // Late is the quota and the usage of a service's late requests at one gateway.
 type Late struct {
-	Quota float64       // maximum number of concurrent late requests
-	Taken int           // late requests in flight
-	Stay  time.Duration // expected time for which a request occupies a slot
+	Quota       float64       // maximum number of concurrent late requests
+	Taken       int           // late requests in flight
+	ServiceTime time.Duration // expected time for which a request occupies a slot
 }
 
 // Late returns the state of a service's late requests.
@@ -32,11 +32,11 @@
 			load.Slots += server.Slots // including stalled servers, which are expected to recover
 		}
 	}
-	return Late{Quota: s.lateQuota(load, d, r.peers.Members(), now), Taken: int(s.late.Load()), Stay: s.serviceTime(d)}
+	return Late{Quota: s.lateQuota(load, d, r.peers.Members(), now), Taken: int(s.late.Load()), ServiceTime: s.serviceTime(d)}
 }
 
 func (s *shard) lateQuota(load Load, d Demand, members int, now time.Time) float64 {
-	return admission.LateQuota(admission.Places{
-		Slots: load.Slots, Members: members, OnTimeRate: s.onTime.rateAt(now), Stay: s.serviceTime(d),
+	return admission.LateQuota(admission.Capacity{
+		Slots: load.Slots, Members: members, OnTimeRate: s.onTime.rateAt(now), ServiceTime: s.serviceTime(d),
 	})
 }
--- a/entry/gateway/hold_test.go
+++ b/entry/gateway/hold_test.go
@@ -40,9 +40,9 @@
 	server := choice.Server
 	choice.Release()
 	to := []string{w.gateway.settings.Listen.Peers}
-	agent.AskHold(to, cluster.Hold{Engine: strings.TrimPrefix(unlisted.URL, "http://"), Epoch: 1, Step: 6})
+	agent.RequestHold(to, cluster.Hold{Engine: strings.TrimPrefix(unlisted.URL, "http://"), Epoch: 1, Step: 6})
 	for _, step := range []string{"/hold/1/7", "/hold/1/8"} {
-		agent.AskHold(to, cluster.Hold{Engine: server.Address, Epoch: 1, Step: uint64(step[len(step)-1] - '0')})
+		agent.RequestHold(to, cluster.Hold{Engine: server.Address, Epoch: 1, Step: uint64(step[len(step)-1] - '0')})
 		select {
 		case got := <-held:
 			is.Equal(got, step)
@@ -54,7 +54,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	is.True(server.HasBackoff(clock.Now())) // requested by the answer to the order
-	agent.AskHold(to, cluster.Hold{Engine: server.Address, Epoch: 1, Step: 9})
+	agent.RequestHold(to, cluster.Hold{Engine: server.Address, Epoch: 1, Step: 9})
 	select {
 	case got := <-held:
 		t.Fatalf("%s reached a server in backoff", got)
--- a/entry/gateway/limit.go
+++ b/entry/gateway/limit.go
@@ -95,7 +95,7 @@
 
 // grantPermit answers a permit request of another gateway.
 func (l *limits) grantPermit(req *wire.PermitAsk) *wire.PermitReply {
-	s, ok := ratelimit.StatementFromWire(req.GetLimit(), clock.Now())
+	s, ok := ratelimit.ObservationFromWire(req.GetLimit(), clock.Now())
 	if !ok {
 		l.g.log.Warn().Uint64("server_incarnation", req.GetLimit().GetServer()).Msg("permit request could not be decoded")
 		return nil
--- a/entry/gateway/metrics.go
+++ b/entry/gateway/metrics.go
@@ -47,7 +47,7 @@
 	set.NewGauge("baywall_limited_servers", g.limited)
 	set.NewGauge("baywall_evacuated_zones", g.evacuated)
 	set.NewGauge("baywall_permits_used", func() float64 { return float64(g.permits().Got) })
-	set.NewGauge("baywall_permits_lacking", func() float64 { return float64(g.permits().Lacked) })
+	set.NewGauge("baywall_permits_lacking", func() float64 { return float64(g.permits().Denied) })
 	set.NewGauge("baywall_permits_unanswered", func() float64 { return float64(g.permits().Unanswered) })
 	set.NewGauge("baywall_log_lines_dropped", g.logDropped)
 	return &instruments{
--- a/entry/gateway/patience.go
+++ b/entry/gateway/patience.go
@@ -125,7 +125,7 @@
 	s := q.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return admission.Situation{RecoversIn: s.outage.RecoversIn(now), Waiting: s.lateWaiting, Quota: late.Quota, Taken: late.Taken, Stay: late.Stay}
+	return admission.Situation{RecoversIn: s.outage.RecoversIn(now), Waiting: s.lateWaiting, Quota: late.Quota, Taken: late.Taken, ServiceTime: late.ServiceTime}
 }
 
 // admissionRequest returns the properties of the request that admission decisions depend
--- a/standin/outage/model.go
+++ b/standin/outage/model.go
@@ -330,8 +330,8 @@
 		g.arrivals = g.arrivals[1:]
 	}
 	stay := time.Duration(s.load.Events) * s.passLength()
-	quota := admission.LateQuota(admission.Places{
-		Slots: s.load.Servers * s.load.Slots, Members: s.load.Gateways, OnTimeRate: float64(len(g.arrivals)), Stay: stay,
+	quota := admission.LateQuota(admission.Capacity{
+		Slots: s.load.Servers * s.load.Slots, Members: s.load.Gateways, OnTimeRate: float64(len(g.arrivals)), ServiceTime: stay,
 	})
 	limit := min(c.limit, c.lastEvent+s.load.WaitLimit) - c.arrived
 	return View{
@@ -339,7 +339,7 @@
 			Age: s.now - c.arrived, Objective: s.load.Objective, Limit: limit, FirstAnswer: 150 * time.Millisecond,
 			Interrupted: c.interrupted,
 		},
-		Situation:         admission.Situation{RecoversIn: g.outage.RecoversIn(s.timeAt(s.now)), Waiting: g.queued, Quota: quota, Taken: g.late, Stay: stay},
+		Situation:         admission.Situation{RecoversIn: g.outage.RecoversIn(s.timeAt(s.now)), Waiting: g.queued, Quota: quota, Taken: g.late, ServiceTime: stay},
 		TimeLeft:          c.limit - s.now,
 		InterruptedQueued: g.interruptedQueued,
 	}
