--- a/entry/gateway/limit.go
+++ b/entry/gateway/limit.go
@@ -21,7 +21,7 @@
 
 // A backend server may name the number of requests per second that it accepts from all
 // gateways together. Package ratelimit decides which gateway may send to it, and package
-// admission which requests wait for a permit (turn.go). This file supplies them with the
+// admission which requests wait for a permit (permitqueue.go). This file supplies them with the
 // observed state and carries out their decisions.
 
 // errPermit means that another gateway gave no usable reply to a permit request.
